--- a/crates/gateway/examples/cooldown_policies.rs
+++ b/crates/gateway/examples/cooldown_policies.rs
@@ -4,12 +4,12 @@
 //!
 //! `cargo run --release -p grebepin-gateway --example cooldown_policies`
 
-#[path = "../tests/cooldown_wave/mod.rs"]
-mod cooldown_wave;
+#[path = "../tests/cooldown_simulation/mod.rs"]
+mod cooldown_simulation;
 
 use std::time::Duration;
 
-use cooldown_wave::{Scene, Seen, Way};
+use cooldown_simulation::{Scene, Seen, Way};
 
 const SEEDS: u64 = 20;
 
--- a/crates/gateway/examples/fingerprint_cost.rs
+++ b/crates/gateway/examples/fingerprint_cost.rs
@@ -8,7 +8,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use grebepin_gateway::crash_memory::fingerprint;
+use grebepin_gateway::crash_history::fingerprint;
 use grebepin_reactor::http::{Fields, Request};
 use header_names::NAMES;
 
--- a/crates/gateway/examples/placement_policies.rs
+++ b/crates/gateway/examples/placement_policies.rs
@@ -1,5 +1,5 @@
 //! Which servers of a pooled service should a gateway use? Plays a zone's gateways and servers on virtual time with
-//! the shipped `Balance`, and prints for each width what callers get.
+//! the shipped `LoadBalancer`, and prints for each width what callers get.
 //!
 //! `cargo run --release -p grebepin-gateway --example placement_policies`
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::{Instance, InstanceId, InstanceState};
-use grebepin_gateway::balance::Balance;
+use grebepin_gateway::load_balancer::LoadBalancer;
 use grebepin_gateway::server_index::ServerIndex;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -94,7 +94,7 @@
 }
 
 struct Gateway {
-    balance: Balance,
+    balance: LoadBalancer,
     order: Vec<usize>,
     /// When each kept connection came to rest, by server.
     resting: HashMap<usize, Vec<Duration>>,
@@ -140,7 +140,7 @@
             for one in &instances {
                 index.update(one, true);
             }
-            let mut balance = Balance::default();
+            let mut balance = LoadBalancer::default();
             balance.set_gateways(load.gateways as u32);
             Gateway {
                 balance,
--- a/crates/gateway/src/answering.rs
+++ b/crates/gateway/src/answering.rs
@@ -8,12 +8,12 @@
 use mio::Token;
 
 use crate::answers::{write_own, write_response, OwnAnswer};
-use crate::crash_memory::fingerprint;
+use crate::crash_history::fingerprint;
 use crate::flight::{Flight, FlightId, Place};
 use crate::forwarding::LEAST_TIME;
 use crate::refusal::Refusal;
 use crate::server::{Due, Server};
-use crate::verdict::{may_repeat, Verdict};
+use crate::verdict::{may_retry, Verdict};
 
 /// Pause before the same owner is asked again whether it holds the key by now.
 const SAME_OWNER_PAUSE: Duration = Duration::from_millis(120);
@@ -31,20 +31,20 @@
         let Some(flight) = self.flights.get(id) else {
             return;
         };
-        let place_after = match verdict {
-            Verdict::NotRun => self.place_after(server),
+        let capacity_after = match verdict {
+            Verdict::NotRun => self.capacity_after(server),
             _ => None,
         };
-        let pause = self.pause_before_repeat(verdict, flight, server, place_after);
+        let pause = self.pause_before_repeat(verdict, flight, server, capacity_after);
         // A second sending to the only server of a key would use a place that it states to have for another caller, or
         // come while it asks for no requests.
         let goes_there_again = flight
             .shard
             .is_some_and(|shard| self.owns(server, &flight.service, shard));
-        let cools_down = self.cooldowns.left(server, now).is_some();
+        let cools_down = self.cooldowns.remaining(server, now).is_some();
         let spares_owner =
             goes_there_again && (cools_down || self.stated_rates.rate(server).is_some());
-        let wanted = may_repeat(verdict, flight.kind())
+        let wanted = may_retry(verdict, flight.kind())
             && !spares_owner
             && !self.is_suspect(flight)
             && flight.sendings < flight.route.maximum_attempts
@@ -58,14 +58,14 @@
         match (verdict, response) {
             (Verdict::Failed, Some(response)) => self.pass_on(id, &response),
             (Verdict::NotRun | Verdict::NotOwner, _) if wanted => {
-                self.refuse(id, Refusal::BudgetSpent { place_after });
+                self.refuse(id, Refusal::BudgetSpent { capacity_after });
             }
             (Verdict::NotRun | Verdict::NotOwner, _) if goes_there_again && cools_down => {
                 let refusal = self.cooldown_refusal(server);
                 self.refuse(id, refusal);
             }
             (Verdict::NotRun | Verdict::NotOwner, _) => {
-                self.refuse(id, Refusal::NotRun { place_after });
+                self.refuse(id, Refusal::NotRun { capacity_after });
             }
             _ => self.fail(id, 502, "server broke off"),
         }
@@ -86,13 +86,13 @@
         verdict: Verdict,
         flight: &Flight,
         server: &InstanceId,
-        place_after: Option<Duration>,
+        capacity_after: Option<Duration>,
     ) -> Duration {
         let Some(shard) = flight.shard else {
             return Duration::ZERO;
         };
         match verdict {
-            Verdict::NotRun => place_after.unwrap_or_default(),
+            Verdict::NotRun => capacity_after.unwrap_or_default(),
             Verdict::NotOwner if self.owns(server, &flight.service, shard) => SAME_OWNER_PAUSE,
             _ => Duration::ZERO,
         }
@@ -107,9 +107,9 @@
     }
 
     /// Time after which a server that turned a request away is likely to take one; `None` for one that is not known.
-    fn place_after(&self, server: &InstanceId) -> Option<Duration> {
+    fn capacity_after(&self, server: &InstanceId) -> Option<Duration> {
         let instance = self.table.instance(server)?;
-        Some(self.balance.place_after(instance))
+        Some(self.balance.capacity_after(instance))
     }
 
     /// Whether a server is believed to own a shard.
@@ -185,7 +185,8 @@
         };
         let place = flight.place.clone();
         if let (Place::At { server, since, .. }, true) = (place, was_sent) {
-            self.balance.silent(&server, now, now.saturating_sub(since));
+            self.balance
+                .timed_out(&server, now, now.saturating_sub(since));
             if reused {
                 self.drop_resting(&server);
             }
@@ -193,7 +194,7 @@
         self.recall(id);
         match was_sent {
             // An earlier sending of a request that is not repeatable is proved not to have run.
-            false => self.refuse(id, Refusal::NoTime),
+            false => self.refuse(id, Refusal::DeadlineExpired),
             true => self.fail(id, 504, "time is up"),
         }
     }
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -35,14 +35,14 @@
 
     /// Time after which the server is likely to take a request, where one of its slots takes `per_slot` until it has
     /// room for the next.
-    pub fn pause(&self, per_slot: Duration) -> Duration {
+    pub fn delay(&self, per_slot: Duration) -> Duration {
         let doublings = self.in_a_row.saturating_sub(1).min(LARGEST_EXPONENT);
-        doubled(per_slot, doublings, LONGEST_PAUSE).max(LEAST_PAUSE)
+        exponential_delay(per_slot, doublings, LONGEST_PAUSE).max(LEAST_PAUSE)
     }
 }
 
-/// A pause that was doubled so many times, and is no longer than `longest`.
-pub(crate) fn doubled(first: Duration, doublings: u32, longest: Duration) -> Duration {
+/// A pause that was exponential_delay so many times, and is no longer than `longest`.
+pub(crate) fn exponential_delay(first: Duration, doublings: u32, longest: Duration) -> Duration {
     let pause = first * 2u32.saturating_pow(doublings);
     pause.min(longest)
 }
--- a/crates/gateway/src/patience.rs
+++ b/crates/gateway/src/client_retries.rs
@@ -24,13 +24,13 @@
 
 /// The longest time that clients stated on each route.
 #[derive(Debug, Default)]
-pub struct LongestPatience {
+pub struct ClientRetryDetector {
     by_route: HashMap<String, Longest>,
 }
 
-impl LongestPatience {
+impl ClientRetryDetector {
     /// Takes a stated time in; whether the request has most likely come back.
-    pub fn is_returned(&mut self, now: Duration, route: &str, stated: Duration) -> bool {
+    pub fn is_retry(&mut self, now: Duration, route: &str, stated: Duration) -> bool {
         let known = self.by_route.get_mut(route);
         let Some(longest) = known.filter(|one| now < one.since + LEARNT_FOR) else {
             self.learn_anew(now, route, stated);
--- a/crates/gateway/src/cooldowns.rs
+++ b/crates/gateway/src/cooldowns.rs
@@ -28,7 +28,7 @@
 impl Cooldowns {
     /// Takes in that a server asks for no requests for a time from now on; whether it did not do so already.
     pub fn note(&mut self, id: &InstanceId, now: Duration, retry_after: Duration) -> bool {
-        let began = self.left(id, now).is_none();
+        let began = self.remaining(id, now).is_none();
         let known = self.servers.entry(id.clone()).or_default();
         if now + retry_after > known.end {
             *known = Cooldown {
@@ -40,14 +40,19 @@
     }
 
     /// Time for which a server takes no requests; `None` when it does.
-    pub fn left(&self, id: &InstanceId, now: Duration) -> Option<Duration> {
+    pub fn remaining(&self, id: &InstanceId, now: Duration) -> Option<Duration> {
         let end = self.servers.get(id)?.end;
         (now < end).then(|| end - now)
     }
 
     /// Time after which a caller may come back that a server takes nothing of now; `random` is between 0 and 1.
-    pub fn back_after(&self, id: &InstanceId, now: Duration, random: f64) -> Option<Duration> {
-        let left = self.left(id, now)?;
+    pub fn client_retry_after(
+        &self,
+        id: &InstanceId,
+        now: Duration,
+        random: f64,
+    ) -> Option<Duration> {
+        let left = self.remaining(id, now)?;
         let asked = self.servers.get(id)?.asked;
         Some(left + asked.mul_f64(CALLER_SPREAD * random))
     }
--- a/crates/gateway/src/crash_check.rs
+++ b/crates/gateway/src/crash_check.rs
@@ -1,10 +1,10 @@
-//! Whether a server that ended a connection under a request is still there, see [`crate::crash_memory`].
+//! Whether a server that ended a connection under a request is still there, see [`crate::crash_history`].
 
 use grebepin_catalog::InstanceId;
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use crate::crash_memory::fingerprint;
+use crate::crash_history::fingerprint;
 use crate::flight::FlightId;
 use crate::server::Server;
 
--- a/crates/gateway/src/crash_memory.rs
+++ b/crates/gateway/src/crash_history.rs
@@ -48,12 +48,12 @@
 
 /// The crashes of late.
 #[derive(Debug, Default)]
-pub struct CrashMemory {
+pub struct CrashHistory {
     crashes: VecDeque<Crash>,
-    has_news: bool,
+    has_unreported: bool,
 }
 
-impl CrashMemory {
+impl CrashHistory {
     /// A server crashed while it ran a request.
     pub fn note_crash(&mut self, now: Duration, fingerprint: Fingerprint, server: &InstanceId) {
         let is_same = |one: &Crash| one.fingerprint == fingerprint && one.server == *server;
@@ -68,7 +68,7 @@
             server: server.clone(),
             at: now,
         });
-        self.has_news = true;
+        self.has_unreported = true;
     }
 
     /// Whether nothing is remembered.
@@ -88,13 +88,13 @@
     }
 
     /// Whether a crash was never told.
-    pub fn has_news(&self) -> bool {
-        self.has_news
+    pub fn has_unreported(&self) -> bool {
+        self.has_unreported
     }
 
     /// What the directory is told now, and again with each report.
     pub fn reports(&mut self, now: Duration) -> Vec<CrashReport> {
-        self.has_news = false;
+        self.has_unreported = false;
         self.crashes.retain(|one| now < one.at + LIFETIME);
         let reports = self.crashes.iter().map(|one| CrashReport {
             fingerprint: one.fingerprint,
--- a/crates/gateway/src/follow/feed.rs
+++ b/crates/gateway/src/follow/feed.rs
@@ -9,7 +9,7 @@
 
 use super::link::LinkEnd;
 use super::Directory;
-use crate::first_state::newest_of_majority;
+use crate::initial_state::newest_of_majority;
 
 /// Time without a word after which another fed replica is followed; replicas speak each 500 ms.
 const FEED_SILENCE_LIMIT: Duration = Duration::from_millis(900);
@@ -88,12 +88,12 @@
     fn may_ask_for_state(&self, now: Duration, token: Token) -> bool {
         let preferred = self.replicas.preferred(now);
         let is_preferred = preferred.as_ref() == Some(&self.links[&token].address);
-        self.first_source.may_ask(now, is_preferred)
+        self.initial_source.may_request(now, is_preferred)
     }
 
     fn note_asked(&mut self, now: Duration, token: Token) {
         self.asked_for_state = Some(token);
-        self.first_source.asked(now);
+        self.initial_source.note_state_requested(now);
     }
 
     /// Drops links that are not wanted any more, once a wanted one is followed.
@@ -114,7 +114,7 @@
         let mut wanted = self.replicas.wanted(now, self.fed_link(now).is_some());
         let mut limit = LINK_LIMIT;
         if applied == 0 {
-            wanted.extend(self.replicas.witnesses(now));
+            wanted.extend(self.replicas.state_candidates(now));
             limit = FIRST_LINK_LIMIT;
         }
         let linked: BTreeSet<&String> = self.links.values().map(|link| &link.address).collect();
@@ -145,7 +145,7 @@
 
     /// Asks for the state that a majority of the voters holds, until a leader speaks.
     pub(super) fn ask_for_first_state(&mut self, now: Duration) {
-        if self.followed.is_some() || self.first_source.is_under_way(now) {
+        if self.followed.is_some() || self.initial_source.is_pending(now) {
             return;
         }
         let heads = || {
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -19,8 +19,8 @@
 use link::{Link, LinkEnd};
 use mio::{Registry, Token};
 
-use crate::crash_memory::CrashMemory;
-use crate::first_source::FirstSource;
+use crate::crash_history::CrashHistory;
+use crate::initial_source::InitialSource;
 use crate::load::LoadCounts;
 use crate::relays::Relays;
 use crate::replicas::Replicas;
@@ -89,13 +89,13 @@
     /// What it saw of load.
     pub load: &'a mut LoadCounts,
     /// Servers that crashed.
-    pub crashes: &'a mut CrashMemory,
+    pub crashes: &'a mut CrashHistory,
 }
 
 impl News<'_> {
     /// Whether the directory should hear soon.
     fn is_urgent(&self) -> bool {
-        self.load.is_crowded() || self.crashes.has_news()
+        self.load.is_overloaded() || self.crashes.has_unreported()
     }
 }
 
@@ -112,7 +112,7 @@
     relays: Relays,
     /// The link whose replica was asked for a first state.
     asked_for_state: Option<Token>,
-    first_source: FirstSource,
+    initial_source: InitialSource,
     /// When a replica first told how many gateways there are.
     counted_since: Option<Duration>,
     /// When the followed replica last spoke and was fed.
@@ -132,7 +132,7 @@
             followed: None,
             relays: Relays::new(&settings.relay_name()),
             asked_for_state: None,
-            first_source: FirstSource::default(),
+            initial_source: InitialSource::default(),
             counted_since: None,
             leader_heard: None,
         }
@@ -182,7 +182,7 @@
             false => FIRST_RETRY_PAUSE,
         };
         self.drop_useless(now);
-        self.replicas.tick(now);
+        self.replicas.forget_expired(now);
         self.choose_feed(now, held.applied);
         if held.applied == 0 {
             self.ask_for_first_state(now);
@@ -390,7 +390,7 @@
             return;
         }
         self.replicas.note(now, &head.replicas);
-        self.first_source.heard(now);
+        self.initial_source.note_replica_message(now);
         let is_fed = head.is_fed;
         if is_fed && head.gateways > 0 {
             self.counted_since.get_or_insert(now);
@@ -402,7 +402,7 @@
         link.head = Some(head);
         match is_fed {
             true => {
-                self.replicas.trust(&link.address);
+                self.replicas.stop_avoiding(&link.address);
                 self.choose_feed(now, applied);
             }
             false => self.leave_unfed(now, token, applied),
@@ -431,7 +431,7 @@
         self.replicas.avoid(now, &link.address, self.retry_pause);
         if self.asked_for_state == Some(token) {
             self.asked_for_state = None;
-            self.first_source.lost();
+            self.initial_source.note_source_lost();
         }
         if self.followed == Some(token) {
             self.followed = None;
--- a/crates/gateway/src/forwarding.rs
+++ b/crates/gateway/src/forwarding.rs
@@ -9,7 +9,7 @@
 use mio::Token;
 
 use crate::answers::OwnAnswer;
-use crate::crash_memory::fingerprint;
+use crate::crash_history::fingerprint;
 use crate::flight::{Flight, FlightId, Place};
 use crate::headers::HeaderNames;
 use crate::placing::is_turn;
@@ -136,7 +136,7 @@
         let target = self.splitter.next(&name, &route);
         let service = route.targets[target].service.clone();
         let stated = arrival.stated;
-        let came_back = stated.is_some_and(|stated| self.patience.is_returned(now, &name, stated));
+        let came_back = stated.is_some_and(|stated| self.patience.is_retry(now, &name, stated));
         match self.admit(&arrival, &route, &service, came_back, now) {
             Ok(()) => self.take_in(arrival, name, route, service, came_back),
             Err(refusal) => self.turn_away(&arrival, refusal),
@@ -176,9 +176,9 @@
         if !self.stopping.is_none_or(can_finish) {
             return Err(Refusal::Stopping);
         }
-        let ranks = self.table.ranks_above_least(route) + u32::from(came_back);
+        let ranks = self.table.priority_above_lowest(route) + u32::from(came_back);
         let bytes = arrival.request.body.len();
-        match self.link_queue.take(now, service, bytes, ranks) {
+        match self.link_queue.admit(now, service, bytes, ranks) {
             true => Ok(()),
             false => {
                 self.metrics
@@ -258,7 +258,7 @@
             return;
         };
         if now + LEAST_TIME >= flight.expires {
-            return self.refuse(id, Refusal::NoTime);
+            return self.refuse(id, Refusal::DeadlineExpired);
         }
         match flight.shard {
             Some(shard) => self.dispatch_to_owner(id, shard),
@@ -288,14 +288,14 @@
                 );
                 self.await_owner(id, fence);
             }
-            Some(owner) if self.cooldowns.left(&owner.id, now).is_some() => {
+            Some(owner) if self.cooldowns.remaining(&owner.id, now).is_some() => {
                 self.await_cooldown(id, &owner.id);
             }
             Some(owner) if !is_turn(&self.table, &self.warmup, &owner, gateways, now) => {
                 self.refuse(id, Refusal::WarmingUp);
             }
             Some(owner) if !self.balance.has_room(&owner.id, now) => {
-                self.load.note_crowd();
+                self.load.note_overload();
                 self.await_room(id, self.balance.opens_at(&owner.id, now));
             }
             Some(owner) if self.lacks_permit(id, &owner.id) => self.ask_permit(id, &owner),
@@ -308,7 +308,7 @@
     /// the drain time; a gateway that did not see it begin to drain can't tell how much of that is left.
     fn may_own(&self, owner: &Instance, now: Duration) -> bool {
         let is_ready = owner.state == InstanceState::Ready;
-        let drains = owner.state == InstanceState::Draining && self.leaving.leaves(&owner.id);
+        let drains = owner.state == InstanceState::Draining && self.leaving.is_leaving(&owner.id);
         (is_ready || drains) && self.leaving.is_usable(&owner.id, now)
     }
 
@@ -331,8 +331,8 @@
     /// Waits for the owner of its key, which asked for no requests, if that is over soon; else it is refused at once.
     fn await_cooldown(&mut self, id: FlightId, owner: &InstanceId) {
         let now = self.now();
-        let left = self.cooldowns.left(owner, now).unwrap_or_default();
-        self.load.note_crowd();
+        let left = self.cooldowns.remaining(owner, now).unwrap_or_default();
+        self.load.note_overload();
         match self.can_wait(id, left) {
             true => self.await_room(id, Some(now + left)),
             false => {
--- a/crates/gateway/src/first_source.rs
+++ b/crates/gateway/src/initial_source.rs
@@ -18,36 +18,36 @@
 
 /// Where a gateway stands with its first state.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FirstSource {
+pub struct InitialSource {
     first_word: Option<Duration>,
     asked: Option<Duration>,
 }
 
-impl FirstSource {
+impl InitialSource {
     /// A replica spoke.
-    pub fn heard(&mut self, now: Duration) {
+    pub fn note_replica_message(&mut self, now: Duration) {
         self.first_word.get_or_insert(now);
     }
 
     /// A replica was asked for its state.
-    pub fn asked(&mut self, now: Duration) {
+    pub fn note_state_requested(&mut self, now: Duration) {
         self.asked = Some(now);
     }
 
     /// The replica that was asked is lost.
-    pub fn lost(&mut self) {
+    pub fn note_source_lost(&mut self) {
         self.asked = None;
     }
 
     /// Whether a state that was asked for may still come.
-    pub fn is_under_way(&self, now: Duration) -> bool {
+    pub fn is_pending(&self, now: Duration) -> bool {
         self.asked.is_some_and(|asked| now < asked + PATIENCE)
     }
 
     /// Whether a replica should be asked now; `is_preferred` tells whether this gateway would choose it among all that
     /// are named.
-    pub fn may_ask(&self, now: Duration, is_preferred: bool) -> bool {
+    pub fn may_request(&self, now: Duration, is_preferred: bool) -> bool {
         let waited = |first: Duration| now >= first + CHOICE_WAIT;
-        !self.is_under_way(now) && (is_preferred || self.first_word.is_some_and(waited))
+        !self.is_pending(now) && (is_preferred || self.first_word.is_some_and(waited))
     }
 }
--- a/crates/gateway/src/leaving.rs
+++ b/crates/gateway/src/leaving.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether a server is known to leave.
-    pub fn leaves(&self, id: &InstanceId) -> bool {
+    pub fn is_leaving(&self, id: &InstanceId) -> bool {
         self.used_until.contains_key(id)
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,6 @@
 //! The gateway: takes clients' requests, finds the server that may run each, and answers.
 //!
-//! Everything is served from one thread. `table`, `balance`, `budget`, `cooldowns`, `stated_rate`, `verdict` decide and are pure;
+//! Everything is served from one thread. `table`, `load_balancer`, `retry_budget`, `cooldowns`, `stated_rate`, `verdict` decide and are pure;
 //! `clients`, `upstreams` and `follow` move bytes; `forwarding`, `sending` and `answering` are the phases of
 //! a request, `housekeeping` is what time asks for, and `server` is the event loop that joins them.
 //!
@@ -11,26 +11,25 @@
 mod answering;
 pub mod answers;
 pub mod backoff;
-pub mod balance;
-pub mod budget;
+pub mod client_retries;
 mod clients;
 pub mod cooldowns;
 mod crash_check;
-pub mod crash_memory;
+pub mod crash_history;
 pub mod evacuations;
-pub mod first_source;
-pub mod first_state;
 mod flight;
 mod follow;
 mod forwarding;
 mod hashing;
 mod headers;
 mod housekeeping;
+pub mod initial_source;
+pub mod initial_state;
 pub mod leaving;
 pub mod limit;
 pub mod link_queue;
 pub mod load;
-pub mod patience;
+pub mod load_balancer;
 mod permits;
 mod placing;
 pub mod rate_turns;
@@ -38,6 +37,7 @@
 mod relay;
 pub mod relays;
 pub mod replicas;
+pub mod retry_budget;
 mod sending;
 mod server;
 pub mod server_index;
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -34,7 +34,7 @@
 const CUT_PAUSE: Duration = Duration::from_millis(100);
 
 /// The first limit of one of `gateways` on its requests at a server with so many slots.
-pub fn first_limit(slots: u32, gateways: u32) -> f64 {
+pub fn initial_limit(slots: u32, gateways: u32) -> f64 {
     let total = FIRST_PER_SLOT * f64::from(slots);
     (total / f64::from(gateways.max(1))).clamp(1.0, LARGEST_FIRST_LIMIT)
 }
@@ -93,7 +93,7 @@
     }
 
     /// A request that has just ended was answered well in time.
-    pub fn good_answer(&mut self) {
+    pub fn answered_fast(&mut self) {
         let held_back = f64::from(self.running) + 2.0 > self.limit;
         if !held_back {
             return;
@@ -106,7 +106,7 @@
     }
 
     /// A request was answered late.
-    pub fn late_answer(&mut self, now: Duration) {
+    pub fn answered_late(&mut self, now: Duration) {
         self.cut(now, LATE_FACTOR);
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// The server asked for no requests for a time: after it one request at a time shows whether the server takes them.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         self.limit = 1.0;
         self.pause_until = Duration::ZERO;
     }
--- a/crates/gateway/src/link_queue.rs
+++ b/crates/gateway/src/link_queue.rs
@@ -67,18 +67,18 @@
     }
 
     /// Takes a request into account, or not when the bytes before it wait longer than its rank allows; whether it was
-    /// taken. `ranks_above_least` tells how many ranks more urgent it is than the least urgent requests.
-    pub fn take(
+    /// taken. `priority_above_lowest` tells how many ranks more urgent it is than the least urgent requests.
+    pub fn admit(
         &mut self,
         now: Duration,
         service: &str,
         request_bytes: usize,
-        ranks_above_least: u32,
+        priority_above_lowest: u32,
     ) -> bool {
         let Some(rate) = self.rate else {
             return true;
         };
-        let allowed = LEAST_URGENT_WAIT + WAIT_PER_RANK * ranks_above_least;
+        let allowed = LEAST_URGENT_WAIT + WAIT_PER_RANK * priority_above_lowest;
         if self.wait(now) > allowed {
             return false;
         }
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub struct LoadCounts {
     sum: LoadSum,
-    is_crowded: bool,
+    is_overloaded: bool,
 }
 
 impl LoadCounts {
@@ -31,7 +31,7 @@
     /// The owner of a key takes no requests for a time.
     pub fn note_cooldown(&mut self, server: &InstanceId, time: Duration) {
         self.sum.add_cooldown(server, time.as_secs_f32());
-        self.is_crowded = true;
+        self.is_overloaded = true;
     }
 
     /// A server says that it leaves.
@@ -40,18 +40,18 @@
     }
 
     /// A request found no room at its shard's owner.
-    pub fn note_crowd(&mut self) {
-        self.is_crowded = true;
+    pub fn note_overload(&mut self) {
+        self.is_overloaded = true;
     }
 
     /// Whether some owner had no room: the directory should learn of it soon.
-    pub fn is_crowded(&self) -> bool {
-        self.is_crowded
+    pub fn is_overloaded(&self) -> bool {
+        self.is_overloaded
     }
 
     /// Takes the counts; they begin anew.
     pub fn take(&mut self) -> LoadSample {
-        self.is_crowded = false;
+        self.is_overloaded = false;
         self.sum.take()
     }
 }
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/load_balancer.rs
@@ -10,8 +10,8 @@
 
 use grebepin_catalog::{Instance, InstanceId};
 
-use crate::backoff::{doubled, ShedBackoff};
-use crate::limit::{first_limit, ConcurrencyLimit};
+use crate::backoff::{exponential_delay, ShedBackoff};
+use crate::limit::{initial_limit, ConcurrencyLimit};
 use crate::server_index::{LOCAL_FIRST, REMOTE_FIRST};
 
 /// Weight of a new answer in the mean of answer times.
@@ -53,7 +53,7 @@
     mean_seconds: Option<f64>,
     failures: u32,
     backoff: ShedBackoff,
-    aside_until: Duration,
+    ejected_until: Duration,
     limit: ConcurrencyLimit,
 }
 
@@ -64,7 +64,7 @@
             mean_seconds: None,
             failures: 0,
             backoff: ShedBackoff::default(),
-            aside_until: Duration::ZERO,
+            ejected_until: Duration::ZERO,
             limit: ConcurrencyLimit::new(limit),
         }
     }
@@ -83,14 +83,14 @@
 
 /// All servers as this gateway knows them.
 #[derive(Debug)]
-pub struct Balance {
+pub struct LoadBalancer {
     gateways: u32,
     endpoints: HashMap<InstanceId, Endpoint>,
     /// Mean time of the answers of each service.
     service_means: HashMap<String, f64>,
 }
 
-impl Default for Balance {
+impl Default for LoadBalancer {
     fn default() -> Self {
         Self {
             gateways: 1,
@@ -100,7 +100,7 @@
     }
 }
 
-impl Balance {
+impl LoadBalancer {
     /// Takes over how many gateways share the servers.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.gateways = gateways.max(1);
@@ -138,16 +138,16 @@
     }
 
     /// A server turned a request away and asked for no more for a time.
-    pub fn cooled_down(&mut self, id: &InstanceId) {
-        self.endpoint(id).limit.restart();
+    pub fn cooldown_requested(&mut self, id: &InstanceId) {
+        self.endpoint(id).limit.reset();
     }
 
     /// Time after which a server that turned a request away is likely to take one.
-    pub fn place_after(&self, server: &Instance) -> Duration {
+    pub fn capacity_after(&self, server: &Instance) -> Duration {
         let endpoint = self.endpoints.get(&server.id);
         let per_slot = self.expected_time(server) / server.slots.max(1);
         let backoff = endpoint.map_or_else(ShedBackoff::default, |one| one.backoff);
-        backoff.pause(per_slot)
+        backoff.delay(per_slot)
     }
 
     /// Time that a server is expected to take for a request: what its answers took lately, or those of its service
@@ -161,7 +161,7 @@
 
     /// A connection to a server was begun.
     pub fn connection_opened(&mut self, server: &Instance) {
-        let first = first_limit(server.slots, self.gateways);
+        let first = initial_limit(server.slots, self.gateways);
         let endpoint = self.endpoints.entry(server.id.clone());
         let endpoint = endpoint.or_insert_with(|| Endpoint::new(first));
         endpoint.connections += 1;
@@ -190,11 +190,11 @@
         let endpoint = self.endpoint(id);
         endpoint.note_time(took);
         if took <= wanted.mul_f64(GOOD_PART) {
-            endpoint.limit.good_answer();
+            endpoint.limit.answered_fast();
         } else if took > wanted {
-            endpoint.limit.late_answer(now);
+            endpoint.limit.answered_late(now);
         }
-        endpoint.aside_until = Duration::ZERO;
+        endpoint.ejected_until = Duration::ZERO;
         endpoint.backoff.answered();
         std::mem::take(&mut endpoint.failures) > 0
     }
@@ -211,24 +211,24 @@
     }
 
     /// A server left a request without an answer until its time was up.
-    pub fn silent(&mut self, id: &InstanceId, now: Duration, took: Duration) {
+    pub fn timed_out(&mut self, id: &InstanceId, now: Duration, took: Duration) {
         let endpoint = self.endpoint(id);
         endpoint.note_time(took);
         endpoint.limit.overloaded(now);
     }
 
     /// A server could not be reached or broke off: it is set aside for a growing time, which is returned.
-    pub fn failed(&mut self, id: &InstanceId, now: Duration) -> Duration {
+    pub fn connection_failed(&mut self, id: &InstanceId, now: Duration) -> Duration {
         let endpoint = self.endpoint(id);
-        let pause = doubled(FIRST_PAUSE, endpoint.failures.min(8), LONGEST_PAUSE);
+        let pause = exponential_delay(FIRST_PAUSE, endpoint.failures.min(8), LONGEST_PAUSE);
         endpoint.failures += 1;
-        endpoint.aside_until = now + pause;
+        endpoint.ejected_until = now + pause;
         pause
     }
 
     /// Until when a server is set aside; `None` when it is not.
-    pub fn aside_until(&self, id: &InstanceId, now: Duration) -> Option<Duration> {
-        let until = self.endpoints.get(id)?.aside_until;
+    pub fn ejected_until(&self, id: &InstanceId, now: Duration) -> Option<Duration> {
+        let until = self.endpoints.get(id)?.ejected_until;
         (until > now).then_some(until)
     }
 
@@ -251,7 +251,7 @@
         self.choose_from_first(FIRST_LOOK, ranked, zone, now, random)
     }
 
-    /// As [`Balance::choose`], with another number of servers that are looked at first.
+    /// As [`LoadBalancer::choose`], with another number of servers that are looked at first.
     pub fn choose_from_first<'a>(
         &self,
         first: usize,
@@ -267,7 +267,7 @@
             let group = rest.by_ref().take(width).inspect(|_| seen += 1);
             let trusted = group
                 .filter(|one| self.has_room(&one.id, now))
-                .filter(|one| self.aside_until(&one.id, now).is_none());
+                .filter(|one| self.ejected_until(&one.id, now).is_none());
             if let Some(best) = self.cheapest(trusted, zone, random) {
                 return Some(best);
             }
@@ -330,7 +330,7 @@
 
     fn endpoint(&mut self, id: &InstanceId) -> &mut Endpoint {
         if !self.endpoints.contains_key(id) {
-            let first = first_limit(1, self.gateways);
+            let first = initial_limit(1, self.gateways);
             self.endpoints.insert(id.clone(), Endpoint::new(first));
         }
         self.endpoints.get_mut(id).expect("just inserted")
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -26,9 +26,9 @@
     /// Asks for a permit to send a request to the owner of its key.
     pub(crate) fn ask_permit(&mut self, id: FlightId, owner: &Instance) {
         let now = self.now();
-        if let Some(after) = self.stated_rates.refused_for(&owner.id, now) {
-            let place_after = Some(after);
-            return self.refuse(id, Refusal::RateSpent { place_after });
+        if let Some(after) = self.stated_rates.permit_refused_for(&owner.id, now) {
+            let capacity_after = Some(after);
+            return self.refuse(id, Refusal::RateSpent { capacity_after });
         }
         let Some(stated_rate) = self.stated_rates.rate(&owner.id) else {
             return;
@@ -70,10 +70,10 @@
                 self.dispatch(id);
             }
             Some(Permit::Refused { after }) => {
-                self.load.note_crowd();
-                self.stated_rates.note_refused(&server, now + after);
-                let place_after = Some(after);
-                self.refuse(id, Refusal::RateSpent { place_after });
+                self.load.note_overload();
+                self.stated_rates.note_permit_refused(&server, now + after);
+                let capacity_after = Some(after);
+                self.refuse(id, Refusal::RateSpent { capacity_after });
             }
             None => self.go_on_without_permit(id, &server),
         }
@@ -101,9 +101,9 @@
         let now = self.now();
         let gateways = self.known_gateways();
         if !self.stated_rates.is_open(&owner.id, now, gateways) {
-            self.load.note_crowd();
-            let place_after = self.stated_rates.place_after(&owner.id);
-            return self.refuse(id, Refusal::RateSpent { place_after });
+            self.load.note_overload();
+            let capacity_after = self.stated_rates.capacity_after(&owner.id);
+            return self.refuse(id, Refusal::RateSpent { capacity_after });
         }
         if let Some(flight) = self.flights.get_mut(id) {
             flight.permitted = Some(owner.id.clone());
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -44,13 +44,15 @@
         let untried = servers.filter(|server| !flight.tried.contains(&server.id));
         let able = untried
             .clone()
-            .filter(|server| cooldowns.left(&server.id, now).is_none())
+            .filter(|server| cooldowns.remaining(&server.id, now).is_none())
             .filter(|server| is_turn(table, warmup, server, gateways, now))
             .filter(|server| rates.is_open(&server.id, now, gateways));
         let zone = self.settings.zone.as_str();
         let random = &mut self.random;
         let mut random = || random.random::<f64>();
-        let staying = able.clone().filter(|server| !leaving.leaves(&server.id));
+        let staying = able
+            .clone()
+            .filter(|server| !leaving.is_leaving(&server.id));
         let chosen = self.balance.choose(staying, zone, now, &mut random);
         let chosen = chosen.or_else(|| {
             let able = able.clone();
@@ -68,26 +70,28 @@
         if !is_none_able {
             return Some(Placement::Waits { opens_at });
         }
-        let place_after = untried.clone().filter_map(|one| rates.place_after(&one.id));
-        let place_after = place_after.min();
-        let left = untried.filter_map(|one| Some((cooldowns.left(&one.id, now)?, &one.id)));
+        let capacity_after = untried
+            .clone()
+            .filter_map(|one| rates.capacity_after(&one.id));
+        let capacity_after = capacity_after.min();
+        let left = untried.filter_map(|one| Some((cooldowns.remaining(&one.id, now)?, &one.id)));
         let first_back = left.min().map(|(_, id)| id.clone());
-        Some(self.placement_later(id, first_back.as_ref(), place_after))
+        Some(self.placement_later(id, first_back.as_ref(), capacity_after))
     }
 
     /// What becomes of a request that no server takes now: `first_back` is the first to take requests again of those that
-    /// asked for none, and one that states a rate has a place after `place_after`, where there are such servers.
+    /// asked for none, and one that states a rate has a place after `capacity_after`, where there are such servers.
     fn placement_later(
         &mut self,
         id: FlightId,
         first_back: Option<&InstanceId>,
-        place_after: Option<Duration>,
+        capacity_after: Option<Duration>,
     ) -> Placement {
         let now = self.now();
-        if place_after.is_some() {
-            return Placement::Refused(Refusal::RateSpent { place_after });
+        if capacity_after.is_some() {
+            return Placement::Refused(Refusal::RateSpent { capacity_after });
         }
-        let left = first_back.and_then(|server| self.cooldowns.left(server, now));
+        let left = first_back.and_then(|server| self.cooldowns.remaining(server, now));
         let (Some(server), Some(left)) = (first_back, left) else {
             return Placement::Refused(Refusal::WarmingUp);
         };
@@ -101,9 +105,11 @@
     /// Why a request is refused that only a server could run which asked for no requests.
     pub(crate) fn cooldown_refusal(&mut self, server: &InstanceId) -> Refusal {
         let now = self.now();
-        let back_after = self.cooldowns.back_after(server, now, self.random.random());
+        let client_retry_after =
+            self.cooldowns
+                .client_retry_after(server, now, self.random.random());
         Refusal::CoolingDown {
-            back_after: back_after.unwrap_or_default(),
+            client_retry_after: client_retry_after.unwrap_or_default(),
         }
     }
 }
--- a/crates/gateway/src/rate_turns.rs
+++ b/crates/gateway/src/rate_turns.rs
@@ -17,14 +17,14 @@
 
 /// How often a gateway has a turn at a server, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TurnLength {
+pub struct TurnTiming {
     /// Time from one turn to the next.
     period: Duration,
     /// Time for which a turn is open.
     open: Duration,
 }
 
-impl TurnLength {
+impl TurnTiming {
     /// Turns of one of `gateways` that send `per_second` requests together, each open for `open` at most.
     pub fn shared(per_second: f64, gateways: u32, open: Duration) -> Self {
         let seconds = f64::from(gateways.max(1)) / per_second;
@@ -83,13 +83,13 @@
     }
 
     /// Whether a turn at a server is open now; `true` where none have begun.
-    pub fn is_open(&self, id: &InstanceId, now: Duration, length: TurnLength) -> bool {
+    pub fn is_open(&self, id: &InstanceId, now: Duration, length: TurnTiming) -> bool {
         let start = self.present_or_next(id, now, length);
         start.is_none_or(|start| start <= now)
     }
 
     /// Uses up the present turn at a server.
-    pub fn use_up(&mut self, id: &InstanceId, now: Duration, length: TurnLength) {
+    pub fn consume(&mut self, id: &InstanceId, now: Duration, length: TurnTiming) {
         if let Some(start) = self.present_or_next(id, now, length) {
             let next = Schedule::Next(start + length.period);
             self.schedules.insert(id.clone(), next);
@@ -101,7 +101,7 @@
         &self,
         id: &InstanceId,
         now: Duration,
-        length: TurnLength,
+        length: TurnTiming,
     ) -> Option<Duration> {
         let start = match *self.schedules.get(id)? {
             Schedule::Since(since) => since + length.period.mul_f64(self.place(id)),
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -35,12 +35,12 @@
     /// The server that could run it states a rate, and this gateway has had its share of that.
     RateSpent {
         /// Mean time between two requests that the server takes, where that is known.
-        place_after: Option<Duration>,
+        capacity_after: Option<Duration>,
     },
     /// The servers that could run it asked for no requests for a time.
     CoolingDown {
         /// Time after which the client may come back to the first of them.
-        back_after: Duration,
+        client_retry_after: Duration,
     },
     /// It crashed the servers that ran it, and is kept from the others.
     Quarantined,
@@ -51,19 +51,19 @@
     /// No connection may be made to its server.
     NoConnection,
     /// Servers could not be reached.
-    OutOfReach,
+    Unreachable,
     /// The server says that it did not run it, and it can't be sent again.
     NotRun {
         /// Time after which the server is likely to take it, where that is known.
-        place_after: Option<Duration>,
+        capacity_after: Option<Duration>,
     },
     /// The same, and it could be sent again if the retry budget were not spent.
     BudgetSpent {
         /// The same time.
-        place_after: Option<Duration>,
+        capacity_after: Option<Duration>,
     },
     /// Its time was up before it was sent.
-    NoTime,
+    DeadlineExpired,
 }
 
 impl Refusal {
@@ -81,10 +81,10 @@
             Self::LinkFull => "link full",
             Self::NoServer => "no server",
             Self::NoConnection => "no connection",
-            Self::OutOfReach => "servers out of reach",
+            Self::Unreachable => "servers out of reach",
             Self::NotRun { .. } => "server did not run it",
             Self::BudgetSpent { .. } => "server did not run it, retry budget spent",
-            Self::NoTime => "no time left",
+            Self::DeadlineExpired => "no time left",
         }
     }
 
@@ -102,17 +102,19 @@
             (Self::Stopping, _) => STOPPING_PAUSE,
             (Self::LinkFull, Some(left)) => LINK_PAUSE.min(left.mul_f64(RETRY_PART)),
             // A client that can't wait that long may still find the key at another owner.
-            (Self::CoolingDown { back_after }, Some(left)) if back_after < left => back_after,
-            (Self::CoolingDown { back_after }, None) => back_after,
+            (Self::CoolingDown { client_retry_after }, Some(left)) if client_retry_after < left => {
+                client_retry_after
+            }
+            (Self::CoolingDown { client_retry_after }, None) => client_retry_after,
             (
                 Self::RateSpent {
-                    place_after: Some(after),
+                    capacity_after: Some(after),
                 }
                 | Self::NotRun {
-                    place_after: Some(after),
+                    capacity_after: Some(after),
                 }
                 | Self::BudgetSpent {
-                    place_after: Some(after),
+                    capacity_after: Some(after),
                 },
                 Some(left),
             ) => after.min(left.mul_f64(RETRY_PART)),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -167,7 +167,7 @@
         if self.fed.is_none_or(|fed| fed >= table.applied()) {
             return true;
         }
-        let Ok(state) = table.whole_state() else {
+        let Ok(state) = table.snapshot() else {
             return false;
         };
         let index = table.applied();
--- a/crates/gateway/src/replicas.rs
+++ b/crates/gateway/src/replicas.rs
@@ -76,12 +76,12 @@
     }
 
     /// A replica is of use again.
-    pub fn trust(&mut self, address: &str) {
+    pub fn stop_avoiding(&mut self, address: &str) {
         self.avoided_until.remove(address);
     }
 
     /// Forgets what is too old.
-    pub fn tick(&mut self, now: Duration) {
+    pub fn forget_expired(&mut self, now: Duration) {
         self.known
             .retain(|_, known| now < known.told + NAME_LIFETIME);
         self.avoided_until.retain(|_, until| now < *until);
@@ -122,7 +122,7 @@
     }
 
     /// The replicas to ask for a first state, while no leader speaks: the seeds and all voters.
-    pub fn witnesses(&self, now: Duration) -> Vec<String> {
+    pub fn state_candidates(&self, now: Duration) -> Vec<String> {
         let is_witness = |address: &String| {
             let votes = self.known.get(address).is_some_and(|known| known.votes);
             votes || self.seeds.contains(address)
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -26,7 +26,7 @@
 
 /// The deployment's bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetBound {
+pub struct RetryBudgetBound {
     /// Second sendings for each request.
     pub ratio: f64,
     /// Time over which they are counted.
@@ -44,17 +44,17 @@
 
 /// The budgets of all services.
 #[derive(Debug)]
-pub struct Budgets {
-    bound: BudgetBound,
+pub struct RetryBudgets {
+    bound: RetryBudgetBound,
     gateways: u32,
     /// Fraction of a sending, from 0 to 1, from which on this gateway rounds its part up.
     rounds_up_from: f64,
     accounts: HashMap<String, Account>,
 }
 
-impl Budgets {
-    /// Budgets of the gateway on machine `node` under a bound; one gateway until more are known.
-    pub fn new(bound: BudgetBound, node: &str) -> Self {
+impl RetryBudgets {
+    /// RetryBudgets of the gateway on machine `node` under a bound; one gateway until more are known.
+    pub fn new(bound: RetryBudgetBound, node: &str) -> Self {
         Self {
             bound,
             gateways: 1,
--- a/crates/gateway/src/sending.rs
+++ b/crates/gateway/src/sending.rs
@@ -9,12 +9,12 @@
 use mio::Token;
 
 use crate::answers::write_request;
-use crate::crash_memory::fingerprint;
+use crate::crash_history::fingerprint;
 use crate::flight::{FlightId, Place};
 use crate::refusal::Refusal;
 use crate::server::{Due, Server};
 use crate::upstreams::Upstream;
-use crate::verdict::{belongs, judge, Verdict};
+use crate::verdict::{belongs_to_request, classify, Verdict};
 
 /// Time a connection to a server may take to come up.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
@@ -70,7 +70,7 @@
         if self.stated_rates.note_sent(&server.id, now, gateways) {
             self.metrics.sent_at_stated_rates.inc();
         }
-        if self.cooldowns.left(&server.id, now).is_some() {
+        if self.cooldowns.remaining(&server.id, now).is_some() {
             self.metrics.sent_in_cooldowns.inc();
         }
         let Some(upstream) = self.upstreams.get_mut(token) else {
@@ -163,7 +163,7 @@
             return;
         };
         let server = upstream.server;
-        let pause = self.balance.failed(&server, now);
+        let pause = self.balance.connection_failed(&server, now);
         self.metrics.note_suspected("no connection");
         event!(
             Event::ServerSuspected,
@@ -184,7 +184,7 @@
         flight.unreached += 1;
         flight.place = Place::Here;
         match flight.unreached > UNREACHED_LIMIT {
-            true => self.refuse(id, Refusal::OutOfReach),
+            true => self.refuse(id, Refusal::Unreachable),
             false => self.dispatch(id),
         }
     }
@@ -250,7 +250,9 @@
                 taken = upstream.reader.end(&upstream.connection.inbound);
             }
             match (taken, &outcome) {
-                (Ok(Some(response)), _) if belongs(&response, &flight.request_id, &names) => {
+                (Ok(Some(response)), _)
+                    if belongs_to_request(&response, &flight.request_id, &names) =>
+                {
                     return self.on_answer(token, id, response);
                 }
                 (Ok(Some(response)), _) => {
@@ -293,7 +295,7 @@
         if !self.crashes.is_empty() && response.fields.get(names.signature).is_some() {
             self.crashes.clear(fingerprint(&flight.request, &names));
         }
-        let verdict = judge(&response, &names);
+        let verdict = classify(&response, &names);
         self.learn_from_answer(id, verdict, &server, since);
         let reusable = self
             .upstreams
@@ -323,7 +325,7 @@
         };
         match verdict {
             // What it asked for says more than what this gateway would learn from being turned away.
-            Verdict::NotRun if self.cooldowns.left(server, now).is_some() => {}
+            Verdict::NotRun if self.cooldowns.remaining(server, now).is_some() => {}
             Verdict::NotRun => self.balance.overloaded(server, now),
             Verdict::Failed => self
                 .balance
@@ -358,7 +360,7 @@
         if !began_answer {
             self.look_for_crash(id, &upstream.server);
         }
-        let pause = self.balance.failed(&upstream.server, now);
+        let pause = self.balance.connection_failed(&upstream.server, now);
         self.metrics.note_suspected("broke off");
         event!(
             Event::ServerSuspected,
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -15,11 +15,10 @@
 use rand::SeedableRng;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
-use crate::balance::Balance;
-use crate::budget::{BudgetBound, Budgets};
+use crate::client_retries::ClientRetryDetector;
 use crate::clients::{Client, Clients};
 use crate::cooldowns::Cooldowns;
-use crate::crash_memory::CrashMemory;
+use crate::crash_history::CrashHistory;
 use crate::evacuations::Evacuations;
 use crate::flight::{FlightId, Flights};
 use crate::follow::{Directory, Update};
@@ -28,8 +27,9 @@
 use crate::leaving::LeavingServers;
 use crate::link_queue::LinkQueue;
 use crate::load::LoadCounts;
-use crate::patience::LongestPatience;
+use crate::load_balancer::LoadBalancer;
 use crate::relay::Relay;
+use crate::retry_budget::{RetryBudgetBound, RetryBudgets};
 use crate::settings::GatewaySettings;
 use crate::stated_rate::StatedRates;
 use crate::stopping::Stopping;
@@ -100,8 +100,8 @@
     pub(crate) deadlines: Deadlines<Due>,
     pub(crate) table: Table,
     pub(crate) splitter: Splitter,
-    pub(crate) balance: Balance,
-    pub(crate) budgets: Budgets,
+    pub(crate) balance: LoadBalancer,
+    pub(crate) budgets: RetryBudgets,
     pub(crate) zone_exits: Evacuations,
     pub(crate) warmup: WarmupTurns,
     pub(crate) stated_rates: StatedRates,
@@ -110,10 +110,10 @@
     /// Fields of answers that could not be used, each logged once.
     pub(crate) unusable_fields: BTreeSet<&'static str>,
     pub(crate) load: LoadCounts,
-    pub(crate) crashes: CrashMemory,
+    pub(crate) crashes: CrashHistory,
     /// Bytes that wait for this machine's link.
     pub(crate) link_queue: LinkQueue,
-    pub(crate) patience: LongestPatience,
+    pub(crate) patience: ClientRetryDetector,
     pub(crate) random: SmallRng,
     pub(crate) directory: Directory,
     pub(crate) stopping: Option<Stopping>,
@@ -157,7 +157,7 @@
             front = settings.front_address,
             seeds = settings.seeds.len()
         );
-        let bound = BudgetBound {
+        let bound = RetryBudgetBound {
             ratio: settings.bounds.budget_ratio,
             window: Duration::from_secs_f64(settings.bounds.budget_window_s),
             slack: settings.bounds.budget_slack,
@@ -166,7 +166,7 @@
         let warmup = WarmupTurns::new(&settings.node);
         let stated_rates = StatedRates::new(&settings.node);
         let leaving = LeavingServers::new(settings.drain());
-        let budgets = Budgets::new(bound, &settings.node);
+        let budgets = RetryBudgets::new(bound, &settings.node);
         let link_queue = LinkQueue::new(settings.link_mbps);
         let table = Table::new(&settings.node, &settings.zone);
         Ok(Self {
@@ -192,7 +192,7 @@
             deadlines: Deadlines::default(),
             table,
             splitter: Splitter::default(),
-            balance: Balance::default(),
+            balance: LoadBalancer::default(),
             budgets,
             zone_exits,
             warmup,
@@ -201,9 +201,9 @@
             leaving,
             unusable_fields: BTreeSet::new(),
             load: LoadCounts::default(),
-            crashes: CrashMemory::default(),
+            crashes: CrashHistory::default(),
             link_queue,
-            patience: LongestPatience::default(),
+            patience: ClientRetryDetector::default(),
             random: SmallRng::from_os_rng(),
             stopping: None,
             announced_ready: false,
--- a/crates/gateway/src/server_index.rs
+++ b/crates/gateway/src/server_index.rs
@@ -12,7 +12,7 @@
 use grebepin_catalog::{Instance, InstanceId, InstanceState};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Servers of the own zone that come first in the order, see [`crate::balance`].
+/// Servers of the own zone that come first in the order, see [`crate::load_balancer`].
 pub const LOCAL_FIRST: usize = 8;
 
 /// Servers of other zones that come next, so that a zone whose own servers are slow is left before they refuse.
--- a/crates/gateway/src/stated_rate.rs
+++ b/crates/gateway/src/stated_rate.rs
@@ -9,7 +9,7 @@
 use grebepin_catalog::InstanceId;
 use grebepin_grants::{LEAST_STATED_RATE, STATED_RATE_USED};
 
-use crate::rate_turns::{RateTurns, TurnLength};
+use crate::rate_turns::{RateTurns, TurnTiming};
 use crate::statement::RateStatement;
 
 /// Over which time what a server gets must keep to its rate, and how far it may pass it.
@@ -101,7 +101,7 @@
         let Some(rate) = self.rate(id) else {
             return true;
         };
-        gateways.is_some_and(|gateways| self.turns.is_open(id, now, turn_length(rate, gateways)))
+        gateways.is_some_and(|gateways| self.turns.is_open(id, now, turn_timing(rate, gateways)))
     }
 
     /// Notes that a request goes to a server, which uses up the present turn if it states a rate; whether it does.
@@ -109,25 +109,25 @@
         let Some(rate) = self.rate(id) else {
             return false;
         };
-        self.turns.use_up(id, now, turn_length(rate, gateways));
+        self.turns.consume(id, now, turn_timing(rate, gateways));
         true
     }
 
     /// Notes that the leader gives no permit for a server before a time.
-    pub fn note_refused(&mut self, id: &InstanceId, until: Duration) {
+    pub fn note_permit_refused(&mut self, id: &InstanceId, until: Duration) {
         if let Some(known) = self.rates.get_mut(id) {
             known.refused_until = until;
         }
     }
 
     /// For how long the leader gives no permit for a server, where that was told.
-    pub fn refused_for(&self, id: &InstanceId, now: Duration) -> Option<Duration> {
+    pub fn permit_refused_for(&self, id: &InstanceId, now: Duration) -> Option<Duration> {
         let until = self.rates.get(id)?.refused_until;
         (now < until).then(|| until - now)
     }
 
     /// Mean time between two requests that a server takes, where it states a rate: a place for another caller.
-    pub fn place_after(&self, id: &InstanceId) -> Option<Duration> {
+    pub fn capacity_after(&self, id: &InstanceId) -> Option<Duration> {
         let rate = self.rate(id)?;
         Some(Duration::from_secs_f64(1.0 / rate.max(LEAST_STATED_RATE)))
     }
@@ -156,12 +156,12 @@
 
 /// Turns of one of `gateways` that share a stated rate. They are open for as long as a sudden crowd at every gateway
 /// stays within what may come in a window.
-fn turn_length(rate: f64, gateways: u32) -> TurnLength {
+fn turn_timing(rate: f64, gateways: u32) -> TurnTiming {
     let used = rate.max(LEAST_STATED_RATE) * STATED_RATE_USED;
     let allowed = rate * WINDOW_FACTOR * WINDOW.as_secs_f64() + WINDOW_SLACK;
     let seconds = open_of_few(used, allowed, gateways).max(open_of_many(used, allowed));
     let open = Duration::try_from_secs_f64(seconds).unwrap_or_default();
-    TurnLength::shared(used, gateways, open.max(LEAST_OPEN))
+    TurnTiming::shared(used, gateways, open.max(LEAST_OPEN))
 }
 
 /// Seconds for which turns may be open so that, wherever they fall, no window holds more than its part of each gateway's.
--- a/crates/gateway/src/statement.rs
+++ b/crates/gateway/src/statement.rs
@@ -23,7 +23,7 @@
     /// The server ran the request and states no rate.
     Unbounded,
     /// Nothing: the server did not run the request, or what it states can't be read.
-    Silent,
+    Unspecified,
 }
 
 /// What one answer states of its server.
@@ -87,7 +87,7 @@
     match number(&response.fields, names.stated_rate, unusable) {
         Some(rate) => RateStatement::PerSecond(rate),
         None if has_run && !is_given => RateStatement::Unbounded,
-        None => RateStatement::Silent,
+        None => RateStatement::Unspecified,
     }
 }
 
--- a/crates/gateway/src/statements.rs
+++ b/crates/gateway/src/statements.rs
@@ -33,7 +33,7 @@
     /// Reports it with each such answer, until the directory says so itself: one report may be lost with its replica.
     fn note_leaving(&mut self, server: &InstanceId) {
         if self.leaving.note(server, self.now()) {
-            self.load.note_crowd();
+            self.load.note_overload();
             event!(Event::ServerLeaves, instance = server);
         }
         let instance = self.table.instance(server);
@@ -52,7 +52,7 @@
             instance = server,
             ms = retry_after.as_millis()
         );
-        self.balance.cooled_down(server);
+        self.balance.cooldown_requested(server);
         let instance = self.table.instance(server);
         if instance.is_some_and(|one| self.table.is_sharded(&one.service)) {
             self.load.note_cooldown(server, retry_after);
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// It can't be encoded.
-    pub fn whole_state(&self) -> Result<Vec<u8>, FrameError> {
+    pub fn snapshot(&self) -> Result<Vec<u8>, FrameError> {
         let mut bytes = Vec::new();
         encode_frame(&self.catalog, &mut bytes)?;
         Ok(bytes)
@@ -150,7 +150,7 @@
     }
 
     /// How many ranks a route is more urgent than the least urgent one.
-    pub fn ranks_above_least(&self, route: &Route) -> u32 {
+    pub fn priority_above_lowest(&self, route: &Route) -> u32 {
         self.least_urgent.saturating_sub(route.priority)
     }
 
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/verdict.rs
@@ -21,7 +21,7 @@
 }
 
 /// Whether an answer belongs to a request: it carries its id, or no id and no claim to have run it.
-pub fn belongs(response: &Response, request_id: &str, names: &HeaderNames) -> bool {
+pub fn belongs_to_request(response: &Response, request_id: &str, names: &HeaderNames) -> bool {
     match response.fields.get(names.request_id) {
         Some(id) => id == request_id,
         None => !(200..300).contains(&response.status),
@@ -29,7 +29,7 @@
 }
 
 /// Judges an answer that belongs to the request.
-pub fn judge(response: &Response, names: &HeaderNames) -> Verdict {
+pub fn classify(response: &Response, names: &HeaderNames) -> Verdict {
     let says_not_run = response.fields.get(names.not_executed).is_some();
     let is_signed = response.fields.get(names.signature).is_some();
     let is_encoded = response.fields.get("content-encoding").is_some();
@@ -46,7 +46,7 @@
 }
 
 /// Whether a request may be sent again after a sending of which this is known.
-pub fn may_repeat(verdict: Verdict, kind: RequestKind) -> bool {
+pub fn may_retry(verdict: Verdict, kind: RequestKind) -> bool {
     match verdict {
         Verdict::Final => false,
         Verdict::NotRun | Verdict::NotOwner => true,
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -7,7 +7,7 @@
 
 use grebepin_catalog::InstanceId;
 
-use crate::rate_turns::{RateTurns, TurnLength};
+use crate::rate_turns::{RateTurns, TurnTiming};
 
 /// Part of a server's rate that is used: turns fall at random, so that the count in one second varies with its root.
 const USED_PART: f64 = 0.8;
@@ -56,10 +56,10 @@
 
     /// Notes that a request goes to a server, which uses up the present turn if it warms up.
     pub fn note_sent(&mut self, id: &InstanceId, now: Duration, rate: f64, gateways: u32) {
-        self.turns.use_up(id, now, length(rate, gateways));
+        self.turns.consume(id, now, length(rate, gateways));
     }
 }
 
-fn length(rate: f64, gateways: u32) -> TurnLength {
-    TurnLength::shared(rate * USED_PART, gateways, TURN_OPEN)
+fn length(rate: f64, gateways: u32) -> TurnTiming {
+    TurnTiming::shared(rate * USED_PART, gateways, TURN_OPEN)
 }
--- a/crates/gateway/tests/cooldown_wave/mod.rs
+++ b/crates/gateway/tests/cooldown_simulation/mod.rs
@@ -175,13 +175,13 @@
     fn dispatch(&mut self, now: Duration, caller: usize, until: Duration) {
         let number = self.callers[caller].gateway;
         let gateway = &mut self.gateways[number];
-        if let Some(left) = gateway.cooldowns.left(&self.id, now) {
+        if let Some(left) = gateway.cooldowns.remaining(&self.id, now) {
             let random = self.random.random();
-            let back_after = match self.way.caller_spread {
+            let client_retry_after = match self.way.caller_spread {
                 Some(spread) => Some(left + self.scene.cooldown.mul_f64(spread * random)),
-                None => gateway.cooldowns.back_after(&self.id, now, random),
+                None => gateway.cooldowns.client_retry_after(&self.id, now, random),
             };
-            return self.refuse(now, caller, back_after.unwrap_or(left));
+            return self.refuse(now, caller, client_retry_after.unwrap_or(left));
         }
         if !gateway.limit.has_room(now) {
             let next = gateway.limit.opens_at(now).unwrap_or(now + HELD / 6);
@@ -242,14 +242,14 @@
             .cooldowns
             .note(&self.id, now, asked + self.scene.cooldown.mul_f64(later))
         {
-            gateway.limit.restart();
+            gateway.limit.reset();
         }
     }
 
     fn done(&mut self, now: Duration, caller: usize) {
         let number = self.callers[caller].gateway;
         self.gateways[number].limit.end(now, WORK);
-        self.gateways[number].limit.good_answer();
+        self.gateways[number].limit.answered_fast();
         self.callers[caller].served = self.left(now, caller) > Duration::ZERO;
         match self.queue.pop_front() {
             Some(next) => self.at(now + WORK, Step::Done(next)),
--- a/crates/gateway/tests/crash_memory.rs
+++ b/crates/gateway/tests/crash_history.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::InstanceId;
-use grebepin_gateway::crash_memory::{fingerprint, CrashMemory};
+use grebepin_gateway::crash_history::{fingerprint, CrashHistory};
 use grebepin_reactor::http::{Fields, Request};
 use header_names::NAMES;
 
@@ -56,16 +56,16 @@
 
 #[test]
 fn a_crash_is_told_until_the_request_turns_out_harmless_or_time_passes() {
-    let mut crashes = CrashMemory::default();
+    let mut crashes = CrashHistory::default();
     let poison = fingerprint(&request("GET", "/p", &[], ""), &NAMES);
     let server = InstanceId::started_at("i-1", 5);
     crashes.note_crash(at(10), poison, &server);
     crashes.note_crash(at(10), poison, &server);
-    assert!(crashes.has_news() && crashes.is_suspect(poison));
+    assert!(crashes.has_unreported() && crashes.is_suspect(poison));
     let told = crashes.reports(at(12));
     assert_eq!(told.len(), 1, "one life crashes once");
     assert_eq!((&told[0].server, told[0].age), (&server, at(2)));
-    assert!(!crashes.has_news());
+    assert!(!crashes.has_unreported());
     assert_eq!(crashes.reports(at(13)).len(), 1, "told again");
     assert!(crashes.reports(at(200)).is_empty(), "too long ago");
     crashes.note_crash(at(300), poison, &server);
@@ -75,7 +75,7 @@
 
 #[test]
 fn many_crashes_keep_the_memory_bounded() {
-    let mut crashes = CrashMemory::default();
+    let mut crashes = CrashHistory::default();
     for number in 0..10_000 {
         let one = fingerprint(&request("GET", &format!("/{number}"), &[], ""), &NAMES);
         crashes.note_crash(at(1), one, &InstanceId::new("i-1"));
--- a/crates/gateway/tests/first_source.rs
+++ b/crates/gateway/tests/initial_source.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use grebepin_directory::link::ReplicaAddress;
-use grebepin_gateway::first_source::FirstSource;
+use grebepin_gateway::initial_source::InitialSource;
 use grebepin_gateway::replicas::Replicas;
 
 fn ms(number: u64) -> Duration {
@@ -13,26 +13,29 @@
 
 #[test]
 fn a_preferred_replica_is_asked_at_once_and_another_after_a_moment() {
-    let mut source = FirstSource::default();
-    assert!(source.may_ask(ms(10), true));
-    assert!(!source.may_ask(ms(10), false), "nobody has spoken yet");
-    source.heard(ms(10));
-    source.heard(ms(50));
-    assert!(!source.may_ask(ms(69), false));
-    assert!(source.may_ask(ms(70), false), "counted from the first word");
+    let mut source = InitialSource::default();
+    assert!(source.may_request(ms(10), true));
+    assert!(!source.may_request(ms(10), false), "nobody has spoken yet");
+    source.note_replica_message(ms(10));
+    source.note_replica_message(ms(50));
+    assert!(!source.may_request(ms(69), false));
+    assert!(
+        source.may_request(ms(70), false),
+        "counted from the first word"
+    );
 }
 
 #[test]
 fn a_state_on_its_way_is_waited_for_unless_its_replica_is_lost_or_silent() {
-    let mut source = FirstSource::default();
-    source.heard(ms(0));
-    source.asked(ms(100));
-    assert!(source.is_under_way(ms(1_099)));
-    assert!(!source.may_ask(ms(1_099), true));
-    assert!(source.may_ask(ms(1_100), true));
-    source.asked(ms(1_100));
-    source.lost();
-    assert!(source.may_ask(ms(1_101), true));
+    let mut source = InitialSource::default();
+    source.note_replica_message(ms(0));
+    source.note_state_requested(ms(100));
+    assert!(source.is_pending(ms(1_099)));
+    assert!(!source.may_request(ms(1_099), true));
+    assert!(source.may_request(ms(1_100), true));
+    source.note_state_requested(ms(1_100));
+    source.note_source_lost();
+    assert!(source.may_request(ms(1_101), true));
 }
 
 /// Of 984 gateways that know three seeds at first, a seed's zone had one replica for 200 of them.
--- a/crates/gateway/tests/first_state.rs
+++ b/crates/gateway/tests/initial_state.rs
@@ -1,7 +1,7 @@
 //! Whose state a gateway takes while no leader speaks.
 
 use grebepin_directory::link::{Head, ReplicaAddress};
-use grebepin_gateway::first_state::newest_of_majority;
+use grebepin_gateway::initial_state::newest_of_majority;
 
 fn voter(address: &str) -> ReplicaAddress {
     ReplicaAddress {
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -13,9 +13,9 @@
 fn a_leaving_server_is_used_for_a_part_of_the_drain_time_since_the_first_word() {
     let mut leaving = LeavingServers::new(at(2_000));
     let id = InstanceId::new("i-1");
-    assert!(leaving.is_usable(&id, at(0)) && !leaving.leaves(&id));
+    assert!(leaving.is_usable(&id, at(0)) && !leaving.is_leaving(&id));
     assert!(leaving.note(&id, at(1_000)));
-    assert!(leaving.is_usable(&id, at(2_000)) && leaving.leaves(&id));
+    assert!(leaving.is_usable(&id, at(2_000)) && leaving.is_leaving(&id));
     assert!(
         !leaving.note(&id, at(2_000)),
         "a later word changes nothing"
@@ -30,7 +30,7 @@
     let mut leaving = LeavingServers::new(at(2_000));
     leaving.note(&InstanceId::started_at("i-1", 1_000), at(0));
     let reborn = InstanceId::started_at("i-1", 2_000);
-    assert!(!leaving.leaves(&reborn));
+    assert!(!leaving.is_leaving(&reborn));
     assert!(leaving.is_usable(&reborn, at(60_000)));
     leaving.retain(|_| false);
     assert!(leaving.is_empty());
--- a/crates/gateway/tests/link_queue.rs
+++ b/crates/gateway/tests/link_queue.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use grebepin_gateway::client_retries::ClientRetryDetector;
 use grebepin_gateway::link_queue::LinkQueue;
-use grebepin_gateway::patience::LongestPatience;
 use grebepin_gateway::refusal::Refusal;
 
 fn ms(number: u64) -> Duration {
@@ -20,7 +20,7 @@
     for number in 0..per_second * 2 {
         let now = Duration::from_secs_f64(number as f64 / per_second as f64);
         let which = number as usize % ranks.len();
-        if queue.take(now, "s", 1_000, ranks[which]) {
+        if queue.admit(now, "s", 1_000, ranks[which]) {
             taken[which] += 1;
         }
     }
@@ -43,34 +43,34 @@
 fn a_link_of_unknown_rate_turns_nobody_away() {
     let mut queue = LinkQueue::new(None);
     for _ in 0..10_000 {
-        assert!(queue.take(ms(0), "s", 100_000, 0));
+        assert!(queue.admit(ms(0), "s", 100_000, 0));
     }
     assert_eq!(queue.wait(ms(0)), Duration::ZERO);
 }
 
 #[test]
 fn a_request_that_states_less_time_than_others_has_come_back() {
-    let mut patience = LongestPatience::default();
-    assert!(!patience.is_returned(ms(0), "r", ms(2_000)));
-    assert!(!patience.is_returned(ms(10), "r", ms(2_000)));
-    assert!(patience.is_returned(ms(20), "r", ms(1_700)));
-    assert!(!patience.is_returned(ms(30), "other", ms(1_700)));
+    let mut patience = ClientRetryDetector::default();
+    assert!(!patience.is_retry(ms(0), "r", ms(2_000)));
+    assert!(!patience.is_retry(ms(10), "r", ms(2_000)));
+    assert!(patience.is_retry(ms(20), "r", ms(1_700)));
+    assert!(!patience.is_retry(ms(30), "other", ms(1_700)));
 }
 
 #[test]
 fn how_long_clients_wait_is_learnt_anew_and_for_a_bounded_number_of_routes() {
-    let mut patience = LongestPatience::default();
-    patience.is_returned(ms(0), "r", ms(2_000));
-    assert!(patience.is_returned(ms(59_000), "r", ms(1_000)));
-    assert!(!patience.is_returned(ms(61_000), "r", ms(1_000)));
+    let mut patience = ClientRetryDetector::default();
+    patience.is_retry(ms(0), "r", ms(2_000));
+    assert!(patience.is_retry(ms(59_000), "r", ms(1_000)));
+    assert!(!patience.is_retry(ms(61_000), "r", ms(1_000)));
     assert!(
-        !patience.is_returned(ms(62_000), "r", ms(1_000)),
+        !patience.is_retry(ms(62_000), "r", ms(1_000)),
         "all wait less by now"
     );
     for number in 0..10_000 {
-        patience.is_returned(ms(62_000), &format!("route-{number}"), ms(1_000));
+        patience.is_retry(ms(62_000), &format!("route-{number}"), ms(1_000));
     }
-    assert!(!patience.is_returned(ms(62_000), "r", ms(900)), "forgotten");
+    assert!(!patience.is_retry(ms(62_000), "r", ms(900)), "forgotten");
 }
 
 #[test]
--- a/crates/gateway/tests/policies.rs
+++ b/crates/gateway/tests/policies.rs
@@ -1,14 +1,14 @@
-//! Budgets, balance and limits, division by weight, stopping.
+//! RetryBudgets, balance and limits, division by weight, stopping.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use grebepin_catalog::{Instance, InstanceId, InstanceState, RequestKind, Route, WeightedService};
-use grebepin_gateway::balance::Balance;
-use grebepin_gateway::budget::{BudgetBound, Budgets};
 use grebepin_gateway::load::LoadCounts;
+use grebepin_gateway::load_balancer::LoadBalancer;
 use grebepin_gateway::refusal::Refusal;
 use grebepin_gateway::relays::Relays;
+use grebepin_gateway::retry_budget::{RetryBudgetBound, RetryBudgets};
 use grebepin_gateway::stopping::Stopping;
 use grebepin_gateway::table::Splitter;
 use proptest::prelude::*;
@@ -29,14 +29,14 @@
     }
 }
 
-fn chosen(balance: &Balance, servers: &[Instance], now: Duration) -> Option<String> {
+fn chosen(balance: &LoadBalancer, servers: &[Instance], now: Duration) -> Option<String> {
     let server = balance.choose(servers.iter(), "here", now, &mut || 0.5);
     server.map(|server| server.id.name().to_owned())
 }
 
 #[test]
 fn all_gateways_together_stay_within_the_bound_on_second_sendings() {
-    let bound = BudgetBound {
+    let bound = RetryBudgetBound {
         ratio: 0.2,
         window: ms(10_000),
         slack: 56.0,
@@ -44,7 +44,7 @@
     let gateways = 8;
     let mut all = 0;
     for number in 0..gateways {
-        let mut budgets = Budgets::new(bound, &format!("g-{number}"));
+        let mut budgets = RetryBudgets::new(bound, &format!("g-{number}"));
         budgets.set_gateways(gateways);
         for number in 0..100_u64 {
             budgets.note_request("s", ms(number * 100));
@@ -59,12 +59,12 @@
 
 #[test]
 fn a_budget_comes_back_with_time() {
-    let bound = BudgetBound {
+    let bound = RetryBudgetBound {
         ratio: 0.0,
         window: ms(1_000),
         slack: 2.0,
     };
-    let mut budgets = Budgets::new(bound, "g");
+    let mut budgets = RetryBudgets::new(bound, "g");
     assert!(budgets.take("s", ms(0), true));
     assert!(!budgets.take("s", ms(500), true));
     assert!(budgets.take("s", ms(1_001), true));
@@ -73,17 +73,17 @@
 #[test]
 fn a_server_out_of_reach_is_set_aside_for_a_growing_time_and_used_when_no_other_is_left() {
     let servers = [instance("a", "here"), instance("b", "there")];
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     assert_eq!(
         chosen(&balance, &servers, ms(0)).as_deref(),
         Some("a"),
         "the same zone first"
     );
-    let first = balance.failed(&servers[0].id, ms(0));
-    let second = balance.failed(&servers[0].id, ms(0));
+    let first = balance.connection_failed(&servers[0].id, ms(0));
+    let second = balance.connection_failed(&servers[0].id, ms(0));
     assert!(second > first);
     assert_eq!(chosen(&balance, &servers, ms(1)).as_deref(), Some("b"));
-    balance.failed(&servers[1].id, ms(0));
+    balance.connection_failed(&servers[1].id, ms(0));
     assert!(chosen(&balance, &servers, ms(1)).is_some());
     assert_eq!(chosen(&balance, &servers, ms(5_000)).as_deref(), Some("a"));
 }
@@ -91,7 +91,7 @@
 #[test]
 fn a_slow_server_gets_fewer_requests() {
     let servers = [instance("slow", "here"), instance("fast", "here")];
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for number in 0..50 {
         balance.answered(&servers[0].id, ms(number), ms(400), ms(300));
         balance.answered(&servers[1].id, ms(number), ms(50), ms(300));
@@ -100,7 +100,7 @@
 }
 
 /// Brings a server's limit to its least.
-fn overload(balance: &mut Balance, id: &InstanceId) {
+fn overload(balance: &mut LoadBalancer, id: &InstanceId) {
     for number in 0..20 {
         balance.overloaded(id, ms(number * 200));
     }
@@ -110,7 +110,7 @@
 fn an_overloaded_server_gets_one_request_at_a_time_with_pauses() {
     let servers = [instance("a", "here")];
     let id = &servers[0].id;
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     overload(&mut balance, id);
     assert!(balance.has_room(id, ms(5_000)));
     balance.begin(id);
@@ -126,7 +126,7 @@
 fn a_limit_grows_with_good_answers_while_it_holds_requests_back() {
     let servers = [instance("a", "here")];
     let id = &servers[0].id;
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     overload(&mut balance, id);
     let mut now = ms(5_000);
     for _ in 0..20 {
@@ -145,7 +145,7 @@
 fn answers_to_lone_requests_raise_no_limit() {
     let servers = [instance("a", "here")];
     let id = &servers[0].id;
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     balance.set_gateways(4);
     balance.connection_opened(&servers[0]);
     for number in 0..100 {
@@ -165,7 +165,7 @@
 #[test]
 fn a_server_of_another_zone_is_taken_when_those_of_the_same_are_busy() {
     let servers = [instance("near", "here"), instance("far", "there")];
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     assert_eq!(chosen(&balance, &servers, ms(0)).as_deref(), Some("near"));
     balance.begin(&servers[0].id);
     balance.begin(&servers[0].id);
@@ -285,15 +285,15 @@
     let mut counts = LoadCounts::default();
     counts.note_request("s", 7);
     assert!(
-        !counts.is_crowded(),
+        !counts.is_overloaded(),
         "a request that found room is no crowd"
     );
-    counts.note_crowd();
-    assert!(counts.is_crowded());
+    counts.note_overload();
+    assert!(counts.is_overloaded());
     let sample = counts.take();
     assert_eq!(sample.shards, [("s".to_owned(), vec![(7, 1)])]);
     assert!(
-        !counts.is_crowded(),
+        !counts.is_overloaded(),
         "the next report has its usual time again"
     );
     assert!(counts.take().shards.is_empty());
@@ -305,7 +305,7 @@
     let tried = instance("tried", "here");
     let untried = instance("untried", "here");
     let remote = instance("remote", "there");
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for number in 0..20 {
         balance.answered(&tried.id, ms(number), ms(400), ms(900));
         balance.note_service_time("s", ms(400));
@@ -329,7 +329,11 @@
 }
 
 /// One gateway's requests at 400 servers of its zone, each answered at once: which servers took them.
-fn servers_used(balance: &mut Balance, servers: &[Instance], requests: u64) -> BTreeSet<String> {
+fn servers_used(
+    balance: &mut LoadBalancer,
+    servers: &[Instance],
+    requests: u64,
+) -> BTreeSet<String> {
     let mut used = BTreeSet::new();
     for number in 0..requests {
         let now = ms(number * 500);
@@ -352,7 +356,7 @@
     let servers: Vec<Instance> = (0..400)
         .map(|number| instance(&format!("i-{number}"), "here"))
         .collect();
-    let used = servers_used(&mut Balance::default(), &servers, 200);
+    let used = servers_used(&mut LoadBalancer::default(), &servers, 200);
     assert!(used.len() <= 12, "{}", used.len());
 }
 
@@ -361,15 +365,15 @@
     let servers: Vec<Instance> = (0..400)
         .map(|number| instance(&format!("i-{number}"), "here"))
         .collect();
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for server in &servers[..50] {
-        balance.failed(&server.id, ms(0));
+        balance.connection_failed(&server.id, ms(0));
     }
     let chosen = balance.choose(servers.iter(), "here", ms(1), &mut || 0.5);
     let place = servers.iter().position(|one| Some(one) == chosen);
     assert!(place.is_some_and(|place| place >= 50), "{place:?}");
     for server in &servers {
-        balance.failed(&server.id, ms(0));
+        balance.connection_failed(&server.id, ms(0));
     }
     let chosen = balance.choose(servers.iter(), "here", ms(1), &mut || 0.5);
     assert!(
@@ -380,14 +384,14 @@
 
 /// What gateways with some requests each may send a second time together, and the deployment's bound.
 fn budget_used(gateways: u32, requests: u64, ratio: f64, slack: f64) -> (f64, f64) {
-    let bound = BudgetBound {
+    let bound = RetryBudgetBound {
         ratio,
         window: ms(10_000),
         slack,
     };
     let mut used = 0;
     for number in 0..gateways {
-        let mut budgets = Budgets::new(bound, &format!("edge-{number}"));
+        let mut budgets = RetryBudgets::new(bound, &format!("edge-{number}"));
         budgets.set_gateways(gateways);
         for request in 0..requests {
             budgets.note_request("s", ms(request));
@@ -418,12 +422,12 @@
 
 #[test]
 fn half_of_the_budget_is_left_to_requests_that_came_back() {
-    let bound = BudgetBound {
+    let bound = RetryBudgetBound {
         ratio: 0.2,
         window: ms(10_000),
         slack: 0.0,
     };
-    let mut budgets = Budgets::new(bound, "g");
+    let mut budgets = RetryBudgets::new(bound, "g");
     for request in 0..500 {
         budgets.note_request("s", ms(request));
     }
--- a/crates/gateway/tests/replicas.rs
+++ b/crates/gateway/tests/replicas.rs
@@ -93,25 +93,25 @@
     assert!(known.wanted(at(10), false).is_empty());
     assert_eq!(known.wanted(at(1_100), false).len(), 4, "tried again later");
     known.avoid(at(1_200), &address(3), at(1_000));
-    known.trust(&address(3));
+    known.stop_avoiding(&address(3));
     assert!(known.wanted(at(1_200), false).contains(&address(3)));
 }
 
 #[test]
 fn voters_and_seeds_are_asked_for_a_first_state() {
     let known = gateway("g", "z3", 18);
-    let mut witnesses = known.witnesses(at(1));
-    witnesses.sort();
+    let mut state_candidates = known.state_candidates(at(1));
+    state_candidates.sort();
     let mut voters: Vec<String> = (0..5).map(address).collect();
     voters.sort();
-    assert_eq!(witnesses, voters);
+    assert_eq!(state_candidates, voters);
 }
 
 #[test]
 fn replicas_that_nobody_names_any_more_are_forgotten() {
     let mut known = gateway("g", "z3", 18);
     known.note(at(20_000), &replicas(12));
-    known.tick(at(31_000));
+    known.forget_expired(at(31_000));
     let all = known.wanted(at(31_000), false);
     assert!(!all.contains(&address(15)), "{all:?}");
     assert!(all.contains(&address(9)), "{all:?}");
--- a/crates/gateway/tests/shedding.rs
+++ b/crates/gateway/tests/shedding.rs
@@ -160,7 +160,7 @@
                 } else {
                     let backoff = &mut backoffs[attempt.gateway];
                     backoff.shed();
-                    let pause = backoff.pause(WORK / SLOTS as u32);
+                    let pause = backoff.delay(WORK / SLOTS as u32);
                     let again = shed(way, now, attempt, pause, &mut allowance);
                     steps.extend(again.map(|(at, attempt)| Reverse((at, Step::Arrives(attempt)))));
                 }
@@ -180,8 +180,8 @@
 ) -> Option<(Duration, Attempt)> {
     let is_in_time = now + pause + WORK <= attempt.began + TARGET;
     let may_wait = is_in_time && attempt.sendings + 1 < SENDINGS;
-    let may_repeat = way != Way::ThirdOfTheTime && may_wait;
-    if may_repeat && allowance.take(attempt.tries > 1) {
+    let may_retry = way != Way::ThirdOfTheTime && may_wait;
+    if may_retry && allowance.take(attempt.tries > 1) {
         let sendings = attempt.sendings + 1;
         return Some((
             now + pause + WAY,
@@ -198,7 +198,7 @@
     let refusal = match way {
         Way::ThirdOfTheTime => Refusal::NoRoom,
         Way::Backoff | Way::BackoffForAll => Refusal::NotRun {
-            place_after: Some(pause),
+            capacity_after: Some(pause),
         },
     };
     let pause = refusal.retry_after(Some(left));
@@ -259,31 +259,33 @@
 fn the_pause_grows_while_the_server_goes_on_shedding_and_ends_with_an_answer() {
     let mut backoff = ShedBackoff::default();
     backoff.shed();
-    assert_eq!(backoff.pause(ms(80)), ms(80));
+    assert_eq!(backoff.delay(ms(80)), ms(80));
     backoff.shed();
     backoff.shed();
-    assert_eq!(backoff.pause(ms(80)), ms(320));
+    assert_eq!(backoff.delay(ms(80)), ms(320));
     for _ in 0..100 {
         backoff.shed();
     }
-    assert_eq!(backoff.pause(ms(80)), ms(1_500));
+    assert_eq!(backoff.delay(ms(80)), ms(1_500));
     backoff.answered();
     backoff.shed();
-    assert_eq!(backoff.pause(ms(80)), ms(80));
-    assert_eq!(backoff.pause(ms(1)), ms(20));
+    assert_eq!(backoff.delay(ms(80)), ms(80));
+    assert_eq!(backoff.delay(ms(1)), ms(20));
 }
 
 #[test]
 fn a_caller_is_told_no_longer_than_it_can_use() {
-    let place_after = Some(ms(900));
+    let capacity_after = Some(ms(900));
     for refusal in [
-        Refusal::NotRun { place_after },
-        Refusal::BudgetSpent { place_after },
+        Refusal::NotRun { capacity_after },
+        Refusal::BudgetSpent { capacity_after },
     ] {
         assert_eq!(refusal.retry_after(Some(ms(900))), Some(ms(297)));
         assert_eq!(refusal.retry_after(Some(ms(6_000))), Some(ms(900)));
     }
-    let unknown = Refusal::NotRun { place_after: None };
+    let unknown = Refusal::NotRun {
+        capacity_after: None,
+    };
     assert_eq!(unknown.retry_after(Some(ms(1_500))), Some(ms(495)));
 }
 
--- a/crates/gateway/tests/stated_rate.rs
+++ b/crates/gateway/tests/stated_rate.rs
@@ -29,7 +29,7 @@
         (stated(4.0), change(None, Some(4.0)), Some(4.0)),
         (stated(4.0), None, Some(4.0)),
         (stated(2.5), change(Some(4.0), Some(2.5)), Some(2.5)),
-        (RateStatement::Silent, None, Some(2.5)),
+        (RateStatement::Unspecified, None, Some(2.5)),
         (RateStatement::Unbounded, change(Some(2.5), None), None),
         (RateStatement::Unbounded, None, None),
     ];
--- a/crates/gateway/tests/statement.rs
+++ b/crates/gateway/tests/statement.rs
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_rate_is_stated_not_stated_or_left_open() {
-    use RateStatement::{PerSecond, Silent, Unbounded};
+    use RateStatement::{PerSecond, Unbounded, Unspecified};
     let cases: [(FieldList, RateStatement, usize); 6] = [
         (
             &[("X-Rate", "3.5"), ("X-Signature", "s")],
@@ -77,11 +77,11 @@
         ),
         (&[("X-Rate", "0")], PerSecond(0.0), 0),
         (&[("X-Signature", "s")], Unbounded, 0),
-        (&[("X-Not-Run", "1")], Silent, 0),
-        (&[("X-Rate", "many"), ("X-Signature", "s")], Silent, 1),
+        (&[("X-Not-Run", "1")], Unspecified, 0),
+        (&[("X-Rate", "many"), ("X-Signature", "s")], Unspecified, 1),
         (
             &[("X-Rate", "1"), ("X-Rate", "2"), ("X-Signature", "s")],
-            Silent,
+            Unspecified,
             1,
         ),
     ];
--- a/crates/gateway/tests/verdict.rs
+++ b/crates/gateway/tests/verdict.rs
@@ -3,7 +3,7 @@
 mod header_names;
 
 use grebepin_catalog::RequestKind;
-use grebepin_gateway::verdict::{belongs, judge, may_repeat, Verdict};
+use grebepin_gateway::verdict::{belongs_to_request, classify, may_retry, Verdict};
 use grebepin_reactor::http::{Fields, Response};
 use header_names::NAMES;
 
@@ -42,7 +42,7 @@
         (421, &[], Verdict::NotOwner),
     ];
     for (status, fields, verdict) in cases {
-        let judged = judge(&response(status, fields), &NAMES);
+        let judged = classify(&response(status, fields), &NAMES);
         assert_eq!(judged, verdict, "{status} {fields:?}");
     }
 }
@@ -50,19 +50,27 @@
 #[test]
 fn an_unsafe_request_is_repeated_only_after_proof() {
     for verdict in [Verdict::Final, Verdict::Failed, Verdict::Unknown] {
-        assert!(!may_repeat(verdict, RequestKind::Unsafe), "{verdict:?}");
+        assert!(!may_retry(verdict, RequestKind::Unsafe), "{verdict:?}");
     }
     for verdict in [Verdict::NotRun, Verdict::NotOwner] {
-        assert!(may_repeat(verdict, RequestKind::Unsafe), "{verdict:?}");
+        assert!(may_retry(verdict, RequestKind::Unsafe), "{verdict:?}");
     }
-    assert!(may_repeat(Verdict::Unknown, RequestKind::Safe));
-    assert!(!may_repeat(Verdict::Final, RequestKind::Safe));
+    assert!(may_retry(Verdict::Unknown, RequestKind::Safe));
+    assert!(!may_retry(Verdict::Final, RequestKind::Safe));
 }
 
 #[test]
 fn an_answer_belongs_to_the_request_whose_id_it_carries() {
-    assert!(belongs(&response(200, &[("X-Id", "a")]), "a", &NAMES));
-    assert!(!belongs(&response(200, &[("X-Id", "b")]), "a", &NAMES));
-    assert!(!belongs(&response(200, &[]), "a", &NAMES));
-    assert!(belongs(&response(503, &[]), "a", &NAMES));
+    assert!(belongs_to_request(
+        &response(200, &[("X-Id", "a")]),
+        "a",
+        &NAMES
+    ));
+    assert!(!belongs_to_request(
+        &response(200, &[("X-Id", "b")]),
+        "a",
+        &NAMES
+    ));
+    assert!(!belongs_to_request(&response(200, &[]), "a", &NAMES));
+    assert!(belongs_to_request(&response(503, &[]), "a", &NAMES));
 }
