--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -1,48 +1,50 @@
-//! When a server that turned a request away is likely to take one.
+//! Backoff for servers that shed requests.
 //!
-//! Load that it answers: a server sheds when its queue is full, and a place is free again after the time that one of
-//! its slots takes for a request; or it sheds at random although it has room, as a faulty one does, and would take the
-//! next request at once. Both are met by one short pause. Only a server that goes on shedding is overloaded for
-//! longer: each further shedding in a row doubles the pause, so that those who come back to a hot key spread out.
+//! A server sheds either because its queue is full, in which case there is capacity again after about the
+//! time that one slot takes for a request, or at random although it has capacity, as a faulty server does, in
+//! which case it would accept the next request at once. One short delay fits both cases. Only a server that
+//! keeps shedding is overloaded for longer: each consecutive shed request doubles the delay, so that retries
+//! for a hot key are spread out.
 
 use std::time::Duration;
 
-/// Least pause: a shorter one would come back before others that are under way have been taken.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
+/// Shortest delay. With a shorter one, the retry would arrive before the requests already in flight are
+/// accepted.
+const MINIMUM_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest pause: a queue of ten requests of 160 ms at two slots has drained twice by then.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
+/// Longest delay. In this time a queue of ten requests of 160 ms each on two slots drains twice.
+const MAXIMUM_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Sheddings in a row after which the pause grows no more.
-const LARGEST_EXPONENT: u32 = 6;
+/// Number of doublings after which the delay no longer grows.
+const MAXIMUM_EXPONENT: u32 = 6;
 
-/// Sheddings of one server in a row, as one gateway saw them.
+/// Consecutive requests of this gateway that one server has shed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShedBackoff {
-    in_a_row: u32,
+    consecutive: u32,
 }
 
 impl ShedBackoff {
-    /// The server turned a request away.
+    /// Records that the server shed a request.
     pub fn shed(&mut self) {
-        self.in_a_row = self.in_a_row.saturating_add(1);
+        self.consecutive = self.consecutive.saturating_add(1);
     }
 
-    /// The server ran a request.
+    /// Records that the server ran a request, which resets the delay.
     pub fn answered(&mut self) {
-        self.in_a_row = 0;
+        self.consecutive = 0;
     }
 
-    /// Time after which the server is likely to take a request, where one of its slots takes `per_slot` until it has
-    /// room for the next.
+    /// Time after which the server is likely to accept a request. `per_slot` is the mean time until the
+    /// server finishes a request and has capacity for the next.
     pub fn delay(&self, per_slot: Duration) -> Duration {
-        let doublings = self.in_a_row.saturating_sub(1).min(LARGEST_EXPONENT);
-        exponential_delay(per_slot, doublings, LONGEST_PAUSE).max(LEAST_PAUSE)
+        let doublings = self.consecutive.saturating_sub(1).min(MAXIMUM_EXPONENT);
+        exponential_delay(per_slot, doublings, MAXIMUM_DELAY).max(MINIMUM_DELAY)
     }
 }
 
-/// A pause that was exponential_delay so many times, and is no longer than `longest`.
+/// `first` doubled `doublings` times, at most `longest`.
 pub(crate) fn exponential_delay(first: Duration, doublings: u32, longest: Duration) -> Duration {
-    let pause = first * 2u32.saturating_pow(doublings);
-    pause.min(longest)
+    let delay = first * 2u32.saturating_pow(doublings);
+    delay.min(longest)
 }
--- a/crates/gateway/src/client_retries.rs
+++ b/crates/gateway/src/client_retries.rs
@@ -1,21 +1,23 @@
-//! Which requests come from clients that were refused before.
+//! Detects requests that are retries of clients that were refused before.
 //!
-//! A client that comes back has less time left than it had at first, and states it. So a request that states clearly less
-//! than the longest time lately stated on its route has most likely come back.
+//! A client that retries has less time left than at its first attempt, and states it in its request. So a
+//! request that states clearly less time than the longest recently stated on its route is most likely a
+//! retry.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Part of the longest time below which a request counts as one that came back.
-const RETURNED_PART: f64 = 0.97;
+/// A request counts as a retry if it states less than this fraction of the longest time on its route.
+const RETRY_FRACTION: f64 = 0.97;
 
-/// Time after which a route's longest time is learnt anew: clients may come to wait less.
-const LEARNT_FOR: Duration = Duration::from_secs(60);
+/// Time after which the longest time on a route is discarded and learnt again, because clients may use
+/// shorter timeouts than before.
+const RELEARN_AFTER: Duration = Duration::from_secs(60);
 
-/// Routes that are remembered at most; all are learnt anew when there are more.
+/// Maximum number of routes kept. All are discarded when there are more.
 const MAXIMUM_ROUTES: usize = 4_096;
 
-/// The longest time stated on a route, and since when it is being learnt.
+/// The longest time stated on a route since `since`.
 #[derive(Clone, Copy, Debug)]
 struct Longest {
     stated: Duration,
@@ -29,18 +31,18 @@
 }
 
 impl ClientRetryDetector {
-    /// Takes a stated time in; whether the request has most likely come back.
+    /// Records the time stated in a request; returns whether the request is most likely a retry.
     pub fn is_retry(&mut self, now: Duration, route: &str, stated: Duration) -> bool {
         let known = self.by_route.get_mut(route);
-        let Some(longest) = known.filter(|one| now < one.since + LEARNT_FOR) else {
-            self.learn_anew(now, route, stated);
+        let Some(longest) = known.filter(|one| now < one.since + RELEARN_AFTER) else {
+            self.relearn(now, route, stated);
             return false;
         };
         longest.stated = longest.stated.max(stated);
-        stated < longest.stated.mul_f64(RETURNED_PART)
+        stated < longest.stated.mul_f64(RETRY_FRACTION)
     }
 
-    fn learn_anew(&mut self, now: Duration, route: &str, stated: Duration) {
+    fn relearn(&mut self, now: Duration, route: &str, stated: Duration) {
         if self.by_route.len() >= MAXIMUM_ROUTES {
             self.by_route.clear();
         }
--- a/crates/gateway/src/crash_history.rs
+++ b/crates/gateway/src/crash_history.rs
@@ -1,7 +1,8 @@
-//! Servers that crashed while they ran a request of this gateway, and which request that was.
+//! Servers that crashed while they ran a request of this gateway, and the fingerprints of these requests.
 //!
-//! A crash is remembered only when the server ended the connection before any byte of an answer and then refused a
-//! new one: a server that is short of room, or drops a connection now and then, is still there.
+//! A crash is recorded only when the server ended the connection before it sent any byte of a response and
+//! then refused a new connection. A server that is short of resources or occasionally drops a connection
+//! still accepts new ones.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,14 +14,16 @@
 
 use crate::headers::HeaderNames;
 
-/// Time for which a crash is remembered: a request that crashes servers comes again within it, or is rare enough.
-const LIFETIME: Duration = Duration::from_secs(120);
+/// Time for which a crash is kept. A request that crashes servers is repeated within it or is too rare to
+/// matter.
+const RETENTION: Duration = Duration::from_secs(120);
 
-/// Crashes that are remembered at most; the oldest gives way.
-const MOST: usize = 32;
+/// Maximum number of crashes kept; the oldest is dropped first.
+const MAXIMUM_CRASHES: usize = 32;
 
-/// What a request is: everything that makes a server run the same work, and nothing that changes between two tries of
-/// it, such as its id or its deadline.
+/// Fingerprint of a request: a hash of everything that determines the work of a server (method, host, target,
+/// shard key, body), and of nothing that changes between two attempts, such as the request id or the
+/// deadline.
 pub fn fingerprint(request: &Request, names: &HeaderNames) -> Fingerprint {
     let mut hasher = Xxh3::new();
     let field = |name: &str| request.fields.get(name).unwrap_or_default();
@@ -38,7 +41,6 @@
     Fingerprint::from_hash(hasher.digest128())
 }
 
-/// One crash.
 #[derive(Clone, Debug)]
 struct Crash {
     fingerprint: Fingerprint,
@@ -46,7 +48,7 @@
     at: Duration,
 }
 
-/// The crashes of late.
+/// Recent crashes.
 #[derive(Debug, Default)]
 pub struct CrashHistory {
     crashes: VecDeque<Crash>,
@@ -54,13 +56,13 @@
 }
 
 impl CrashHistory {
-    /// A server crashed while it ran a request.
+    /// Records that a server crashed while it ran a request. The same server and request are recorded once.
     pub fn note_crash(&mut self, now: Duration, fingerprint: Fingerprint, server: &InstanceId) {
         let is_same = |one: &Crash| one.fingerprint == fingerprint && one.server == *server;
         if self.crashes.iter().any(is_same) {
             return;
         }
-        if self.crashes.len() == MOST {
+        if self.crashes.len() == MAXIMUM_CRASHES {
             self.crashes.pop_front();
         }
         self.crashes.push_back(Crash {
@@ -71,31 +73,32 @@
         self.has_unreported = true;
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty()
     }
 
-    /// Whether a server crashed while it ran a request.
+    /// Whether a crash is recorded for a request.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         let mut crashes = self.crashes.iter();
         crashes.any(|one| one.fingerprint == fingerprint)
     }
 
-    /// A server ran a request to its end: the crashes were not its doing.
+    /// Drops the crashes of a request after a server completed it: it did not cause them.
     pub fn clear(&mut self, fingerprint: Fingerprint) {
         self.crashes.retain(|one| one.fingerprint != fingerprint);
     }
 
-    /// Whether a crash was never told.
+    /// Whether a crash has been recorded since the last report.
     pub fn has_unreported(&self) -> bool {
         self.has_unreported
     }
 
-    /// What the directory is told now, and again with each report.
+    /// Drops expired crashes and returns all others, for a report to the directory. Each crash is part of
+    /// every report until it expires.
     pub fn reports(&mut self, now: Duration) -> Vec<CrashReport> {
         self.has_unreported = false;
-        self.crashes.retain(|one| now < one.at + LIFETIME);
+        self.crashes.retain(|one| now < one.at + RETENTION);
         let reports = self.crashes.iter().map(|one| CrashReport {
             fingerprint: one.fingerprint,
             server: one.server.clone(),
--- a/crates/gateway/src/hashing.rs
+++ b/crates/gateway/src/hashing.rs
@@ -1,9 +1,9 @@
-//! Hashes as numbers: thresholds and turns that differ from gateway to gateway and are spread evenly over all of them.
+//! Hashes as numbers from 0 to 1, for thresholds and schedules that are spread evenly over all gateways.
 
-/// Bits of a hash that a floating-point number holds exactly.
+/// Bits of a hash that an `f64` represents exactly.
 const EXACT_BITS: u32 = 53;
 
-/// A hash as a number from 0 to 1.
+/// Maps a hash to a number from 0 to below 1.
 pub(crate) fn unit_interval(hash: u64) -> f64 {
     (hash >> (u64::BITS - EXACT_BITS)) as f64 / (1u64 << EXACT_BITS) as f64
 }
--- a/crates/gateway/src/initial_source.rs
+++ b/crates/gateway/src/initial_source.rs
@@ -1,53 +1,55 @@
-//! From whom a gateway without any state takes its first one, and how long it keeps to that.
+//! From which replica a gateway without state fetches its first snapshot, and how long it waits for it.
 //!
-//! After a loss of everything a thousand gateways start at once and know three seeds. If each took its state from the
-//! first replica that speaks, a few replicas would send hundreds; if each turned to a better one while its state is on
-//! the way, the bytes sent so far would be lost, on links that carry a state in an eighth of a second. So a gateway
-//! waits a moment for the replica that it prefers, which differs from gateway to gateway, and then keeps to the one
-//! it asked.
+//! When a whole deployment restarts, a thousand gateways start at once and know three seeds. If each fetched
+//! the state from the first replica that responds, a few replicas would send hundreds of snapshots. If a
+//! gateway switched to a better replica during a transfer, the bytes sent so far would be wasted, on links
+//! that take an eighth of a second for a snapshot. So a gateway waits briefly for its preferred replica,
+//! which differs between gateways, and then keeps to the one it asked.
 
 use std::time::Duration;
 
-/// Time from the first word of any replica for which a gateway waits for the one that it prefers: names come with that
-/// word, links are begun within 20 ms, and are up and spoken over some milliseconds later.
-const CHOICE_WAIT: Duration = Duration::from_millis(60);
+/// How long a gateway waits for its preferred replica after the first message of any replica. That message
+/// names all replicas; links to them are opened within 20 ms, and their first messages follow a few
+/// milliseconds later.
+const PREFERENCE_WAIT: Duration = Duration::from_millis(60);
 
-/// Time within which a state must have come before another replica is asked: seven times what 0.16 MB, a packed state
-/// of 10,000 servers (`examples/table_memory.rs`), take over 10 Mbit/s.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time after which another replica is asked if no snapshot has arrived: seven times the transfer time of
+/// 0.16 MB, a compressed snapshot of 10,000 servers (`examples/table_memory.rs`), over 10 Mbit/s.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where a gateway stands with its first state.
+/// Progress of a gateway towards its first snapshot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InitialSource {
-    first_word: Option<Duration>,
-    asked: Option<Duration>,
+    first_message: Option<Duration>,
+    requested: Option<Duration>,
 }
 
 impl InitialSource {
-    /// A replica spoke.
+    /// Records a message of any replica; only the first one counts.
     pub fn note_replica_message(&mut self, now: Duration) {
-        self.first_word.get_or_insert(now);
+        self.first_message.get_or_insert(now);
     }
 
-    /// A replica was asked for its state.
+    /// Records that a replica was asked for its state.
     pub fn note_state_requested(&mut self, now: Duration) {
-        self.asked = Some(now);
+        self.requested = Some(now);
     }
 
-    /// The replica that was asked is lost.
+    /// Records that the link to the replica that was asked is lost.
     pub fn note_source_lost(&mut self) {
-        self.asked = None;
+        self.requested = None;
     }
 
-    /// Whether a state that was asked for may still come.
+    /// Whether a requested snapshot may still arrive.
     pub fn is_pending(&self, now: Duration) -> bool {
-        self.asked.is_some_and(|asked| now < asked + PATIENCE)
+        self.requested
+            .is_some_and(|requested| now < requested + TRANSFER_TIMEOUT)
     }
 
-    /// Whether a replica should be asked now; `is_preferred` tells whether this gateway would choose it among all that
-    /// are named.
+    /// Whether a replica should be asked for its state now. `is_preferred` is true if this gateway prefers it
+    /// to all other known replicas.
     pub fn may_request(&self, now: Duration, is_preferred: bool) -> bool {
-        let waited = |first: Duration| now >= first + CHOICE_WAIT;
-        !self.is_pending(now) && (is_preferred || self.first_word.is_some_and(waited))
+        let waited = |first: Duration| now >= first + PREFERENCE_WAIT;
+        !self.is_pending(now) && (is_preferred || self.first_message.is_some_and(waited))
     }
 }
--- a/crates/gateway/src/initial_state.rs
+++ b/crates/gateway/src/initial_state.rs
@@ -1,19 +1,19 @@
-//! Whose state a gateway takes that has none yet while no leader speaks to it.
+//! Which state a gateway without any takes while it has no contact with a leader.
 //!
-//! After a loss of all machines the group needs an election before a leader speaks, and gateways need not
-//! wait for it: what a majority of the voters holds covers every acknowledged change but those whose commit
-//! its members had not heard of. It is older by that much until a leader speaks, as the state of any gateway
-//! that lost its leader is.
+//! After a restart of all machines the group needs an election before there is a leader, and gateways need
+//! not wait for it: the state that a majority of the voters holds covers every acknowledged change except
+//! those whose commit its members had not yet learnt of. Until there is a leader the state may be outdated by
+//! that much, like that of any gateway that lost its leader.
 //!
-//! Invariant: a state is taken only when a majority of the voters was asked, whichever of them knows the
-//! membership best, and it is the newest among them. A voter that missed changes alone does not suffice, nor
-//! with one that lost its disk, since that one is no voter.
+//! Invariant: a state is taken only when a majority of the voters was asked, by the membership that each of
+//! them knows, and only if it is the newest among them. A voter that missed changes is not enough alone, nor
+//! together with a replica that lost its disk, since that one is no voter.
 
 use grebepin_directory::link::Head;
 
-/// The log index of the newest state that a majority of the voters holds, out of the heads that replicas at these
-/// addresses told; `None` as long as they are no majority. Any replica that has applied as much will do to take
-/// the state from.
+/// Log index of the newest state among the voters in `heads`, which are pairs of a replica's address and the
+/// head that it sent; `None` while these are not a majority. The state may be fetched from any replica that
+/// has applied that index.
 pub fn newest_of_majority<'a>(heads: impl Iterator<Item = (&'a str, &'a Head)>) -> Option<u64> {
     let voters: Vec<(&str, &Head)> = heads.filter(|(_, head)| head.votes).collect();
     let is_covered = |head: &Head| {
--- a/crates/gateway/src/leaving.rs
+++ b/crates/gateway/src/leaving.rs
@@ -1,21 +1,23 @@
-//! Servers that are about to end, and until when they may still be used. A gateway learns of it from a server's answers, or
-//! from the directory.
+//! Servers that are about to stop, and until when they still get requests. A gateway learns of it from a
+//! server's responses or from the directory.
 //!
-//! A pooled service's other servers are preferred at once. The owner of a key goes on for a part of the drain time: nobody else may
-//! serve its keys until they have moved, and what it runs then still ends before it does.
+//! In a pooled service the other servers are preferred at once. The owner of a key keeps getting requests for
+//! a fraction of the drain time: no other server may run requests for its keys until they have moved, and
+//! requests sent within that time still complete before the server stops.
 //!
-//! Invariant: a server gets nothing after that part of the drain time since this gateway first learnt that it leaves. A life that
-//! leaves never comes back.
+//! Invariant: a server gets no requests once that fraction of the drain time has passed since this gateway
+//! first learnt that it is leaving. An instance that is leaving never returns.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use grebepin_catalog::InstanceId;
 
-/// Part of the drain time in which a leaving server is used; the rest is for requests that are held or under way.
-const USED_PART: f64 = 0.7;
+/// Fraction of the drain time in which a leaving server gets requests. The rest is for requests that are held
+/// or in flight.
+const USED_FRACTION: f64 = 0.7;
 
-/// The servers that leave, as this gateway learnt it.
+/// The servers that are leaving, and until when they are used.
 #[derive(Debug)]
 pub struct LeavingServers {
     used_for: Duration,
@@ -23,15 +25,15 @@
 }
 
 impl LeavingServers {
-    /// No server leaves. `drain` is the time after which one that does must get nothing.
+    /// Starts without leaving servers. `drain` is the time after which a leaving server must get no requests.
     pub fn new(drain: Duration) -> Self {
         Self {
-            used_for: drain.mul_f64(USED_PART),
+            used_for: drain.mul_f64(USED_FRACTION),
             used_until: HashMap::new(),
         }
     }
 
-    /// Takes in that a server leaves; whether that was not known.
+    /// Records that a server is leaving; returns whether that is new.
     pub fn note(&mut self, id: &InstanceId, now: Duration) -> bool {
         if self.used_until.contains_key(id) {
             return false;
@@ -40,28 +42,28 @@
         true
     }
 
-    /// Whether a server is known to leave.
+    /// Whether a server is known to be leaving.
     pub fn is_leaving(&self, id: &InstanceId) -> bool {
         self.used_until.contains_key(id)
     }
 
-    /// Whether a server may get requests, as far as its leaving bounds that.
+    /// Whether a server may get requests: it is not leaving, or its time is not over yet.
     pub fn is_usable(&self, id: &InstanceId, now: Duration) -> bool {
         let until = self.used_until.get(id);
         until.is_none_or(|until| now < *until)
     }
 
-    /// How many servers are known to leave.
+    /// Number of servers known to be leaving.
     pub fn len(&self) -> usize {
         self.used_until.len()
     }
 
-    /// Whether no server is known to leave.
+    /// Whether no server is known to be leaving.
     pub fn is_empty(&self) -> bool {
         self.used_until.is_empty()
     }
 
-    /// Forgets servers that have ended.
+    /// Drops servers that are not live.
     pub fn retain(&mut self, is_live: impl Fn(&InstanceId) -> bool) {
         self.used_until.retain(|id, _| is_live(id));
     }
--- a/crates/gateway/src/link_queue.rs
+++ b/crates/gateway/src/link_queue.rs
@@ -1,41 +1,42 @@
-//! How long bytes wait for this machine's link, and which requests are turned away for it.
+//! Estimates how long bytes wait for this machine's network link, and rejects requests when it is too long.
 //!
-//! A gateway on a narrow link has no view of the queue at the far end of it. It reckons with one: each request that it
-//! takes adds the bytes that it will bring over the link, itself and its answer, and the link carries so many a second.
-//! Both directions carry about the same, since what comes in goes out.
+//! A gateway on a narrow link can't observe the queue at the far end of it, so it estimates the queue. Each
+//! admitted request adds the bytes that it will bring over the link, of itself and of its response, and the
+//! link carries a fixed number of bytes a second. One estimate covers both directions, which carry about the
+//! same, since everything that comes in is forwarded.
 //!
-//! Invariant: a request is turned away for the link only when the bytes before it take longer than its rank allows, so a
-//! gateway whose link has room turns nobody away for it.
+//! Invariant: a request is rejected because of the link only when the estimated wait exceeds the bound for
+//! its priority, so a gateway whose link has capacity rejects no request because of it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use grebepin_directory::pacing::BYTES_PER_MEGABIT;
 
-/// Part of the link that requests and answers can use; the rest is for the directory's news and for what opens and
-/// acknowledges connections.
-const USABLE_PART: f64 = 0.95;
+/// Fraction of the link available to requests and responses. The rest is for updates from the directory and
+/// for opening and acknowledging connections.
+const USABLE_FRACTION: f64 = 0.95;
 
-/// Bytes of the heads of a request and of its answer together, about.
+/// Approximate bytes of the headers of a request and of its response together.
 const HEAD_BYTES: f64 = 600.0;
 
-/// Body of an answer of a service that gave none yet, in bytes.
-const ASSUMED_ANSWER: f64 = 1_000.0;
+/// Body size in bytes assumed for responses of a service that has not responded yet.
+const ASSUMED_ANSWER_BYTES: f64 = 1_000.0;
 
-/// Weight of one answer in the mean size of a service's answers.
+/// Weight of a new response in the moving average of a service's response sizes.
 const ANSWER_WEIGHT: f64 = 0.05;
 
-/// Longest time that bytes may wait before a request of the least urgent rank: some ten requests of 4.6 KB at
-/// 2.2 Mbit/s, which chance alone gathers seldom while the link has room.
-const LEAST_URGENT_WAIT: Duration = Duration::from_millis(200);
+/// Longest estimated wait at which a request of the lowest priority is admitted: about ten requests of 4.6 KB
+/// at 2.2 Mbit/s, more than random arrivals usually queue while the link has capacity.
+const LOWEST_PRIORITY_WAIT: Duration = Duration::from_millis(200);
 
-/// What each rank more is allowed beyond that.
-const WAIT_PER_RANK: Duration = Duration::from_millis(75);
+/// Additional wait allowed for each level of priority above the lowest.
+const WAIT_PER_PRIORITY_LEVEL: Duration = Duration::from_millis(75);
 
-/// The queue of one link.
+/// Estimated queue of this machine's link.
 #[derive(Debug)]
 pub struct LinkQueue {
-    /// Bytes a second; `None` when the link is not known, and nobody is turned away for it.
+    /// Bytes a second; `None` when the rate is unknown, in which case all requests are admitted.
     rate: Option<f64>,
     queued_bytes: f64,
     at: Duration,
@@ -43,17 +44,17 @@
 }
 
 impl LinkQueue {
-    /// For a link of so many megabits a second.
+    /// Queue of a link of `link_mbps` megabits a second.
     pub fn new(link_mbps: Option<f64>) -> Self {
         Self {
-            rate: link_mbps.map(|mbps| mbps * BYTES_PER_MEGABIT * USABLE_PART),
+            rate: link_mbps.map(|mbps| mbps * BYTES_PER_MEGABIT * USABLE_FRACTION),
             queued_bytes: 0.0,
             at: Duration::ZERO,
             answer_bytes: HashMap::new(),
         }
     }
 
-    /// Time that bytes wait for the link now.
+    /// Estimated time until the queued bytes are sent; zero when the rate is unknown.
     pub fn wait(&self, now: Duration) -> Duration {
         let Some(rate) = self.rate else {
             return Duration::ZERO;
@@ -66,8 +67,9 @@
         (self.queued_bytes - elapsed * rate).max(0.0)
     }
 
-    /// Takes a request into account, or not when the bytes before it wait longer than its rank allows; whether it was
-    /// taken. `priority_above_lowest` tells how many ranks more urgent it is than the least urgent requests.
+    /// Adds a request to the queue and returns true, or returns false if the estimated wait exceeds the bound
+    /// for its priority. `priority_above_lowest` is the number of levels between its priority and the lowest
+    /// one.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -78,18 +80,19 @@
         let Some(rate) = self.rate else {
             return true;
         };
-        let allowed = LEAST_URGENT_WAIT + WAIT_PER_RANK * priority_above_lowest;
+        let allowed = LOWEST_PRIORITY_WAIT + WAIT_PER_PRIORITY_LEVEL * priority_above_lowest;
         if self.wait(now) > allowed {
             return false;
         }
-        let answer = self.answer_bytes.get(service).copied();
-        let bytes = request_bytes as f64 + answer.unwrap_or(ASSUMED_ANSWER) + HEAD_BYTES;
+        let answer_bytes = self.answer_bytes.get(service).copied();
+        let bytes =
+            request_bytes as f64 + answer_bytes.unwrap_or(ASSUMED_ANSWER_BYTES) + HEAD_BYTES;
         self.queued_bytes = self.queued(now, rate) + bytes;
         self.at = now;
         true
     }
 
-    /// A server of a service answered with a body of so many bytes.
+    /// Adds the size of a response body to the moving average of its service.
     pub fn note_answer(&mut self, service: &str, bytes: usize) {
         let bytes = bytes as f64;
         match self.answer_bytes.get_mut(service) {
--- a/crates/gateway/src/load_balancer.rs
+++ b/crates/gateway/src/load_balancer.rs
@@ -1,9 +1,10 @@
-//! What this gateway knows of each server, and which one takes a request.
+//! Per-server statistics of this gateway, and the choice of the server for a request.
 //!
-//! Each server has a limit on this gateway's requests there, see [`crate::limit`].
+//! This gateway's concurrency at each server is limited, see [`crate::limit`].
 //!
-//! A server's cost is the time that a request is expected to take there: what answers took lately,
-//! which holds its speed and everybody's load on it, times this gateway's own requests there.
+//! The cost of a server is the response time to expect there: the mean of its recent response times, which
+//! reflects its speed and its load from all gateways, scaled by the number of this gateway's own requests in
+//! flight there.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,42 +15,44 @@
 use crate::limit::{initial_limit, ConcurrencyLimit};
 use crate::server_index::{LOCAL_FIRST, REMOTE_FIRST};
 
-/// Weight of a new answer in the mean of answer times.
+/// Weight of a new response in the moving average of a server's response times.
 const MEAN_WEIGHT: f64 = 0.2;
 
-/// Answer time assumed of a server that never answered while no other of its service did, in seconds.
+/// Response time in seconds assumed for a server while no server of its service has responded yet.
 const ASSUMED_SECONDS: f64 = 0.1;
 
-/// Answer time assumed of a server that never answered, as a part of what the others of its service take: below
-/// one, so that servers that join are tried, and above one over [`OTHER_ZONE_FACTOR`], so that a gateway of a large
-/// fleet does not try every server of every other zone once.
-const UNTRIED_PART: f64 = 0.6;
+/// Response time assumed for a server that has not responded yet, as a fraction of the mean of its service.
+/// It is below 1, so that servers that join get requests, and above 1 / [`OTHER_ZONE_FACTOR`], so that a
+/// gateway of a large fleet does not send one request to every server of every other zone.
+const UNTRIED_FRACTION: f64 = 0.6;
 
-/// Weight of a new answer in the mean of a whole service.
+/// Weight of a new response in the moving average of a whole service.
 const SERVICE_MEAN_WEIGHT: f64 = 0.05;
 
-/// Cost of another zone, as a factor.
+/// Factor on the cost of servers in other zones.
 const OTHER_ZONE_FACTOR: f64 = 2.0;
 
-/// Servers that a request looks at first: a gateway sees few requests of a large fleet's, so it learns how fast a
-/// server is and keeps connections there only if it uses few. Compared in `examples/placement_policies.rs`.
-const FIRST_LOOK: usize = LOCAL_FIRST + REMOTE_FIRST;
+/// Number of servers considered first for a request. A gateway handles a small share of a large fleet's
+/// requests, so it learns the servers' response times and keeps connections alive only if it uses few
+/// servers. `examples/placement_policies.rs` compares several numbers.
+const INITIAL_CANDIDATES: usize = LOCAL_FIRST + REMOTE_FIRST;
 
-/// Range of the random factor that keeps gateways from choosing alike.
+/// Largest random increase of a cost, as a fraction, so that gateways with the same statistics choose
+/// different servers.
 const JITTER: f64 = 0.2;
 
-/// First time for which a server that could not be reached is set aside, and the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Shortest and longest ejection of a server that could not be reached.
+const INITIAL_EJECTION: Duration = Duration::from_millis(300);
+const MAXIMUM_EJECTION: Duration = Duration::from_secs(4);
 
-/// Part of the wanted time within which an answer lets the limit grow.
-const GOOD_PART: f64 = 0.7;
+/// Fraction of the target latency within which a response raises the concurrency limit.
+const FAST_FRACTION: f64 = 0.7;
 
-/// One server as this gateway knows it.
+/// Statistics of this gateway about one server.
 #[derive(Clone, Debug)]
 struct Endpoint {
     connections: u32,
-    /// Mean time of answers; `None` before the first.
+    /// Moving average of response times; `None` before the first response.
     mean_seconds: Option<f64>,
     failures: u32,
     backoff: ShedBackoff,
@@ -69,24 +72,24 @@
         }
     }
 
-    /// Takes an answer's time into the mean.
+    /// Adds a response time to the moving average.
     fn note_time(&mut self, took: Duration) {
-        self.mean_seconds = Some(moved(self.mean_seconds, took, MEAN_WEIGHT));
+        self.mean_seconds = Some(moving_average(self.mean_seconds, took, MEAN_WEIGHT));
     }
 }
 
-/// A mean after one more answer; the first answer is the mean.
-fn moved(mean: Option<f64>, took: Duration, weight: f64) -> f64 {
+/// Exponential moving average after one more value; the first value is the average.
+fn moving_average(mean: Option<f64>, took: Duration, weight: f64) -> f64 {
     let took = took.as_secs_f64();
     mean.map_or(took, |mean| mean + weight * (took - mean))
 }
 
-/// All servers as this gateway knows them.
+/// Chooses servers by the statistics that this gateway keeps about them.
 #[derive(Debug)]
 pub struct LoadBalancer {
     gateways: u32,
     endpoints: HashMap<InstanceId, Endpoint>,
-    /// Mean time of the answers of each service.
+    /// Moving average of response times by service.
     service_means: HashMap<String, f64>,
 }
 
@@ -101,17 +104,17 @@
 }
 
 impl LoadBalancer {
-    /// Takes over how many gateways share the servers.
+    /// Sets the number of gateways that share the servers; at least 1.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.gateways = gateways.max(1);
     }
 
-    /// A request went to a server.
+    /// Counts a request that is sent to a server.
     pub fn begin(&mut self, id: &InstanceId) {
         self.endpoint(id).limit.begin();
     }
 
-    /// A request no longer is at a server.
+    /// Counts the end of a request at a server, whatever its outcome.
     pub fn end(&mut self, id: &InstanceId, now: Duration) {
         let endpoint = self.endpoint(id);
         let seconds = endpoint.mean_seconds.unwrap_or(ASSUMED_SECONDS);
@@ -119,30 +122,30 @@
         endpoint.limit.end(now, expected);
     }
 
-    /// Whether a server may get another request of this gateway now.
+    /// Whether the concurrency limit allows another request to a server now.
     pub fn has_room(&self, id: &InstanceId, now: Duration) -> bool {
         let endpoint = self.endpoints.get(id);
         endpoint.is_none_or(|one| one.limit.has_room(now))
     }
 
-    /// When a server gets room that only a pause keeps from it.
+    /// End of the pause before the next request to a server; `None` if no pause is in effect.
     pub fn opens_at(&self, id: &InstanceId, now: Duration) -> Option<Duration> {
         self.endpoints.get(id)?.limit.opens_at(now)
     }
 
-    /// A server turned a request away.
+    /// Records that a server shed a request.
     pub fn overloaded(&mut self, id: &InstanceId, now: Duration) {
         let endpoint = self.endpoint(id);
         endpoint.limit.overloaded(now);
         endpoint.backoff.shed();
     }
 
-    /// A server turned a request away and asked for no more for a time.
+    /// Records that a server rejected a request and asked for a cooldown.
     pub fn cooldown_requested(&mut self, id: &InstanceId) {
         self.endpoint(id).limit.reset();
     }
 
-    /// Time after which a server that turned a request away is likely to take one.
+    /// Time after which a server that shed a request is likely to accept one.
     pub fn capacity_after(&self, server: &Instance) -> Duration {
         let endpoint = self.endpoints.get(&server.id);
         let per_slot = self.expected_time(server) / server.slots.max(1);
@@ -150,8 +153,8 @@
         backoff.delay(per_slot)
     }
 
-    /// Time that a server is expected to take for a request: what its answers took lately, or those of its service
-    /// when it gave none.
+    /// Expected response time of a server: the moving average of the server, or that of its service before
+    /// the server's first response.
     pub fn expected_time(&self, server: &Instance) -> Duration {
         let endpoint = self.endpoints.get(&server.id);
         let mean_seconds = endpoint.and_then(|one| one.mean_seconds);
@@ -159,39 +162,39 @@
         Duration::from_secs_f64(mean_seconds)
     }
 
-    /// A connection to a server was begun.
+    /// Counts a connection to a server from the start of the connection attempt.
     pub fn connection_opened(&mut self, server: &Instance) {
-        let first = initial_limit(server.slots, self.gateways);
+        let limit = initial_limit(server.slots, self.gateways);
         let endpoint = self.endpoints.entry(server.id.clone());
-        let endpoint = endpoint.or_insert_with(|| Endpoint::new(first));
+        let endpoint = endpoint.or_insert_with(|| Endpoint::new(limit));
         endpoint.connections += 1;
     }
 
-    /// A connection to a server ended.
+    /// Counts the end of a connection to a server.
     pub fn connection_closed(&mut self, id: &InstanceId) {
         let endpoint = self.endpoint(id);
         endpoint.connections = endpoint.connections.saturating_sub(1);
     }
 
-    /// Connections of this gateway to a server.
+    /// Number of connections of this gateway to a server, pending ones included.
     pub fn connections(&self, id: &InstanceId) -> u32 {
         self.endpoints.get(id).map_or(0, |one| one.connections)
     }
 
-    /// A server answered after a time, where `wanted` is the time it is wanted in; whether the server
-    /// had been set aside before.
+    /// Records a response that took `took`, where `target` is the target latency. Returns whether the
+    /// server's last connections had failed, so that this response ends its ejection.
     pub fn answered(
         &mut self,
         id: &InstanceId,
         now: Duration,
         took: Duration,
-        wanted: Duration,
+        target: Duration,
     ) -> bool {
         let endpoint = self.endpoint(id);
         endpoint.note_time(took);
-        if took <= wanted.mul_f64(GOOD_PART) {
+        if took <= target.mul_f64(FAST_FRACTION) {
             endpoint.limit.answered_fast();
-        } else if took > wanted {
+        } else if took > target {
             endpoint.limit.answered_late(now);
         }
         endpoint.ejected_until = Duration::ZERO;
@@ -199,7 +202,8 @@
         std::mem::take(&mut endpoint.failures) > 0
     }
 
-    /// A server answered with a failure of its own after a time: it is no faster for failing soon, nor fit for more.
+    /// Records an error response. It can raise the average response time but never lowers it, and it does not
+    /// raise the concurrency limit: a server that fails fast is not a fast server.
     pub fn answered_with_failure(&mut self, id: &InstanceId, took: Duration) {
         let endpoint = self.endpoint(id);
         let is_slower = endpoint
@@ -210,37 +214,39 @@
         }
     }
 
-    /// A server left a request without an answer until its time was up.
+    /// Records that a server did not respond before the request's deadline.
     pub fn timed_out(&mut self, id: &InstanceId, now: Duration, took: Duration) {
         let endpoint = self.endpoint(id);
         endpoint.note_time(took);
         endpoint.limit.overloaded(now);
     }
 
-    /// A server could not be reached or broke off: it is set aside for a growing time, which is returned.
+    /// Records that a server could not be reached or broke a connection off. Ejects the server for a time
+    /// that doubles with each failure in a row, and returns that time.
     pub fn connection_failed(&mut self, id: &InstanceId, now: Duration) -> Duration {
         let endpoint = self.endpoint(id);
-        let pause = exponential_delay(FIRST_PAUSE, endpoint.failures.min(8), LONGEST_PAUSE);
+        let ejection =
+            exponential_delay(INITIAL_EJECTION, endpoint.failures.min(8), MAXIMUM_EJECTION);
         endpoint.failures += 1;
-        endpoint.ejected_until = now + pause;
-        pause
+        endpoint.ejected_until = now + ejection;
+        ejection
     }
 
-    /// Until when a server is set aside; `None` when it is not.
+    /// End of a server's ejection; `None` when it is not ejected.
     pub fn ejected_until(&self, id: &InstanceId, now: Duration) -> Option<Duration> {
         let until = self.endpoints.get(id)?.ejected_until;
         (until > now).then_some(until)
     }
 
-    /// Forgets servers that have ended.
+    /// Drops the statistics of servers that are not live and have no requests or connections of this gateway.
     pub fn retain(&mut self, is_live: impl Fn(&InstanceId) -> bool) {
         self.endpoints
             .retain(|id, one| is_live(id) || one.limit.running() > 0 || one.connections > 0);
     }
 
-    /// The server of lowest cost among the first of `ranked` that are trusted and have room; among more and more of
-    /// the others while these have none; and one that is set aside only when no other is left.
-    /// `random` gives numbers between 0 and 1.
+    /// The server of the lowest cost among the first of `ranked` that are not ejected and are within their
+    /// concurrency limit. If there is none, the following servers are considered in groups of doubling size.
+    /// Ejected servers are chosen only when no other is left. `random` returns numbers between 0 and 1.
     pub fn choose<'a>(
         &self,
         ranked: impl Iterator<Item = &'a Instance> + Clone,
@@ -248,10 +254,10 @@
         now: Duration,
         random: &mut dyn FnMut() -> f64,
     ) -> Option<&'a Instance> {
-        self.choose_from_first(FIRST_LOOK, ranked, zone, now, random)
+        self.choose_from_first(INITIAL_CANDIDATES, ranked, zone, now, random)
     }
 
-    /// As [`LoadBalancer::choose`], with another number of servers that are looked at first.
+    /// Like [`LoadBalancer::choose`], with `first` servers in the first group.
     pub fn choose_from_first<'a>(
         &self,
         first: usize,
@@ -265,10 +271,10 @@
         loop {
             let mut seen = 0;
             let group = rest.by_ref().take(width).inspect(|_| seen += 1);
-            let trusted = group
+            let candidates = group
                 .filter(|one| self.has_room(&one.id, now))
                 .filter(|one| self.ejected_until(&one.id, now).is_none());
-            if let Some(best) = self.cheapest(trusted, zone, random) {
+            if let Some(best) = self.cheapest(candidates, zone, random) {
                 return Some(best);
             }
             if seen < width {
@@ -306,22 +312,22 @@
         mean_seconds * queued * distance * (1.0 + JITTER * random)
     }
 
-    /// Answer time assumed of a server of a service that never answered.
+    /// Response time assumed for a server that has not responded yet.
     fn assumed_seconds(&self, service: &str) -> f64 {
         let mean = self.service_means.get(service);
-        mean.map_or(ASSUMED_SECONDS, |mean| mean * UNTRIED_PART)
+        mean.map_or(ASSUMED_SECONDS, |mean| mean * UNTRIED_FRACTION)
     }
 
-    /// Mean answer time of a service's servers.
+    /// Mean response time of a service's servers.
     fn mean_of_service(&self, service: &str) -> f64 {
         let mean = self.service_means.get(service);
         mean.copied().unwrap_or(ASSUMED_SECONDS)
     }
 
-    /// Takes the time of an answer into the mean of its service.
+    /// Adds a response time to the moving average of its service.
     pub fn note_service_time(&mut self, service: &str, took: Duration) {
         let mean = self.service_means.get(service).copied();
-        let mean = moved(mean, took, SERVICE_MEAN_WEIGHT);
+        let mean = moving_average(mean, took, SERVICE_MEAN_WEIGHT);
         match self.service_means.get_mut(service) {
             Some(known) => *known = mean,
             None => _ = self.service_means.insert(service.to_owned(), mean),
@@ -330,8 +336,8 @@
 
     fn endpoint(&mut self, id: &InstanceId) -> &mut Endpoint {
         if !self.endpoints.contains_key(id) {
-            let first = initial_limit(1, self.gateways);
-            self.endpoints.insert(id.clone(), Endpoint::new(first));
+            let limit = initial_limit(1, self.gateways);
+            self.endpoints.insert(id.clone(), Endpoint::new(limit));
         }
         self.endpoints.get_mut(id).expect("just inserted")
     }
--- a/crates/gateway/src/rate_turns.rs
+++ b/crates/gateway/src/rate_turns.rs
@@ -1,11 +1,13 @@
-//! Turns by which all gateways together keep to a rate of requests at a server, without speaking to each other.
+//! Turns by which all gateways together keep to a rate of requests at a server without communicating with
+//! each other.
 //!
-//! Each gateway has one turn in a period of `gateways / rate`, at a place in it that a hash of the gateway and the
-//! server decides, and sends at most one request in a turn.
+//! Each gateway has one turn in each period of `gateways / rate`, at an offset given by a hash of the gateway
+//! and the server, and sends at most one request in a turn.
 //!
-//! Invariants: a turn that was not used is lost, so that the requests of all gateways within a time are about as many as
-//! turns fall into it, whatever waits; two requests of one gateway are a period apart but for the length of a turn,
-//! also while the rate or the number of gateways changes, since a turn is reckoned from the one before.
+//! Invariants: a turn that is not used is lost, so that the number of requests of all gateways in a time is
+//! about the number of turns in it, however many requests are queued. Two requests of one gateway are a
+//! period apart, give or take the length of a turn, also while the rate or the number of gateways changes,
+//! because each turn is computed from the previous one.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,21 +17,22 @@
 
 use crate::hashing::unit_interval;
 
-/// How often a gateway has a turn at a server, and for how long.
+/// How often a gateway has a turn at a server, and how long a turn lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TurnTiming {
-    /// Time from one turn to the next.
+    /// Time between the starts of two turns.
     period: Duration,
-    /// Time for which a turn is open.
+    /// Length of a turn.
     open: Duration,
 }
 
 impl TurnTiming {
-    /// Turns of one of `gateways` that send `per_second` requests together, each open for `open` at most.
+    /// Turns of one of `gateways` that together send `per_second` requests a second. A turn is open for
+    /// `open`, but no longer than its period.
     pub fn shared(per_second: f64, gateways: u32, open: Duration) -> Self {
         let seconds = f64::from(gateways.max(1)) / per_second;
-        let period = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_PERIOD);
-        let period = period.min(LONGEST_PERIOD);
+        let period = Duration::try_from_secs_f64(seconds).unwrap_or(MAXIMUM_PERIOD);
+        let period = period.min(MAXIMUM_PERIOD);
         Self {
             period,
             open: open.min(period),
@@ -38,15 +41,15 @@
 }
 
 /// Longest period, so that sums of times stay in range.
-const LONGEST_PERIOD: Duration = Duration::from_secs(24 * 60 * 60);
+const MAXIMUM_PERIOD: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Turns at one server.
+/// State of the turns at one server.
 #[derive(Clone, Copy, Debug)]
 enum Schedule {
-    /// None was used since this time, from which places are reckoned.
-    Since(Duration),
-    /// The next begins at this time.
-    Next(Duration),
+    /// No turn was used since this time, at which the first period starts.
+    UnusedSince(Duration),
+    /// The next turn starts at this time.
+    NextAt(Duration),
 }
 
 /// The turns of one gateway.
@@ -57,7 +60,7 @@
 }
 
 impl RateTurns {
-    /// Turns of a gateway of this name.
+    /// Turns of the gateway `gateway`. Its name determines its offsets.
     pub fn new(gateway: &str) -> Self {
         Self {
             gateway: gateway.to_owned(),
@@ -65,60 +68,61 @@
         }
     }
 
-    /// Turns at a server begin now, unless they have begun.
+    /// Starts the turns at a server now, unless they have started.
     pub fn begin(&mut self, id: &InstanceId, now: Duration) {
         if !self.schedules.contains_key(id) {
-            self.schedules.insert(id.clone(), Schedule::Since(now));
+            self.schedules
+                .insert(id.clone(), Schedule::UnusedSince(now));
         }
     }
 
-    /// Whether turns at a server have begun.
+    /// Whether turns at a server have started.
     pub fn has_begun(&self, id: &InstanceId) -> bool {
         self.schedules.contains_key(id)
     }
 
-    /// Forgets turns at all servers but these.
+    /// Drops the turns at all servers but these.
     pub fn retain(&mut self, is_wanted: impl Fn(&InstanceId) -> bool) {
         self.schedules.retain(|id, _| is_wanted(id));
     }
 
-    /// Whether a turn at a server is open now; `true` where none have begun.
-    pub fn is_open(&self, id: &InstanceId, now: Duration, length: TurnTiming) -> bool {
-        let start = self.present_or_next(id, now, length);
+    /// Whether a turn at a server is open now; always true if the turns there have not started.
+    pub fn is_open(&self, id: &InstanceId, now: Duration, timing: TurnTiming) -> bool {
+        let start = self.current_or_next(id, now, timing);
         start.is_none_or(|start| start <= now)
     }
 
-    /// Uses up the present turn at a server.
-    pub fn consume(&mut self, id: &InstanceId, now: Duration, length: TurnTiming) {
-        if let Some(start) = self.present_or_next(id, now, length) {
-            let next = Schedule::Next(start + length.period);
+    /// Uses the current turn at a server, or the next if none is open.
+    pub fn consume(&mut self, id: &InstanceId, now: Duration, timing: TurnTiming) {
+        if let Some(start) = self.current_or_next(id, now, timing) {
+            let next = Schedule::NextAt(start + timing.period);
             self.schedules.insert(id.clone(), next);
         }
     }
 
-    /// Start of the turn that is open now, or of the next.
-    fn present_or_next(
+    /// Start of the turn that is open now, or else of the next.
+    fn current_or_next(
         &self,
         id: &InstanceId,
         now: Duration,
-        length: TurnTiming,
+        timing: TurnTiming,
     ) -> Option<Duration> {
         let start = match *self.schedules.get(id)? {
-            Schedule::Since(since) => since + length.period.mul_f64(self.place(id)),
-            // A period that became shorter ends the wait that the longer one began.
-            Schedule::Next(next) => next.min(now + length.period),
+            Schedule::UnusedSince(since) => since + timing.period.mul_f64(self.offset(id)),
+            // If the period has become shorter since the last turn, the wait becomes shorter as well.
+            Schedule::NextAt(next) => next.min(now + timing.period),
         };
-        let end = start + length.open;
+        let end = start + timing.open;
         if now < end {
             return Some(start);
         }
         let late = (now - end).as_secs_f64();
-        let missed = (late / length.period.as_secs_f64()).floor() + 1.0;
-        Some(start + length.period.mul_f64(missed))
+        let missed = (late / timing.period.as_secs_f64()).floor() + 1.0;
+        Some(start + timing.period.mul_f64(missed))
     }
 
-    /// Place of this gateway's turns in the period, from 0 to 1.
-    fn place(&self, id: &InstanceId) -> f64 {
+    /// Offset of this gateway's turns in the period, as a fraction from 0 to 1.
+    fn offset(&self, id: &InstanceId) -> f64 {
         let mut hasher = DefaultHasher::new();
         self.gateway.hash(&mut hasher);
         id.hash(&mut hasher);
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,73 +1,73 @@
-//! Why a request is refused, and when its client may come back.
+//! Reasons for refusing a request, and when its client may retry.
 //!
-//! Invariant: a refusal is a promise that the request has not run and never will, and it names a time
-//! at which another try is likely to be served and still leaves time for it.
+//! Invariant: a refused request has not run and never will. The refusal gives the client a time at which a
+//! retry is likely to be served and which leaves enough of its deadline.
 
 use std::time::Duration;
 
-/// Part of the time that a client has left after which it may come back: a shard has an owner or a
-/// queue has drained by then, and enough time remains to be served. Clients wait for a third at most.
-const RETRY_PART: f64 = 0.33;
+/// Fraction of a client's remaining time after which it may retry. By then a shard usually has an owner again
+/// or a queue has drained, and enough time remains for the retry. Clients wait for a third of it at most.
+const RETRY_FRACTION: f64 = 0.33;
 
-/// Pause before a client turns to another gateway, since this one is stopping.
-const STOPPING_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a client retries at another gateway because this one is stopping.
+const STOPPING_DELAY: Duration = Duration::from_millis(20);
 
-/// Pause before a client turns to another gateway, since this one's link is full: others most likely have room, and
-/// where they have not, those in front will have got their answers by then.
-const LINK_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a client retries at another gateway because this one's link is full. The links of other
+/// gateways most likely have capacity; where they don't, the requests ahead have been answered by then.
+const LINK_DELAY: Duration = Duration::from_millis(100);
 
-/// When a client may come back that did not say how long it waits.
-const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a client retries that stated no deadline.
+const DEFAULT_DELAY: Duration = Duration::from_millis(200);
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No configuration is known yet.
+    /// The gateway has no configuration yet.
     Unconfigured,
-    /// The gateway ends before the request might.
+    /// The gateway is stopping and would exit before the request ends.
     Stopping,
-    /// Its key's shard has no owner.
+    /// The shard of its key has no owner.
     NoOwner,
-    /// No server that could run it has room.
+    /// All servers that could run it are at their concurrency limit.
     NoRoom,
-    /// The server that could run it warms up and has had its share of requests.
+    /// The server that could run it is warming up, and this gateway has used its share of the server's rate.
     WarmingUp,
-    /// The server that could run it states a rate, and this gateway has had its share of that.
+    /// The server that could run it states a rate limit, and this gateway has used its share of it.
     RateSpent {
-        /// Mean time between two requests that the server takes, where that is known.
+        /// Time until the server is likely to accept another request, if known.
         capacity_after: Option<Duration>,
     },
-    /// The servers that could run it asked for no requests for a time.
+    /// The servers that could run it are cooling down.
     CoolingDown {
-        /// Time after which the client may come back to the first of them.
+        /// Time after which the client may retry: the end of the first cooldown and a random delay.
         client_retry_after: Duration,
     },
-    /// It crashed the servers that ran it, and is kept from the others.
+    /// It is quarantined because it crashed the servers that ran it.
     Quarantined,
-    /// Bytes wait too long for the gateway's own link.
+    /// The estimated queue of the gateway's own link is too long.
     LinkFull,
-    /// No server is left that was not tried.
+    /// All usable servers of its service have been tried.
     NoServer,
-    /// No connection may be made to its server.
+    /// The gateway may not open another connection to the server.
     NoConnection,
-    /// Servers could not be reached.
+    /// The servers that were tried could not be reached.
     Unreachable,
-    /// The server says that it did not run it, and it can't be sent again.
+    /// The server states that it did not run the request, and the request can't be retried.
     NotRun {
-        /// Time after which the server is likely to take it, where that is known.
+        /// Time until the server is likely to accept it, if known.
         capacity_after: Option<Duration>,
     },
-    /// The same, and it could be sent again if the retry budget were not spent.
+    /// The server states that it did not run the request, and the retry budget is exhausted.
     BudgetSpent {
-        /// The same time.
+        /// Time until the server is likely to accept it, if known.
         capacity_after: Option<Duration>,
     },
-    /// Its time was up before it was sent.
+    /// Its deadline expired before it was sent.
     DeadlineExpired,
 }
 
 impl Refusal {
-    /// The reason as logs and metrics tell it.
+    /// Text for logs, and label value in metrics.
     pub fn reason(self) -> &'static str {
         match self {
             Self::Unconfigured => "no configuration",
@@ -88,20 +88,21 @@
         }
     }
 
-    /// After which time a client may come back that waits for `left` more, where it said so; `None` for a request that
-    /// has no better chance then.
+    /// Time after which a client may retry. `left` is the remaining time that it stated, if any. `None` for a
+    /// request that should not be retried at all.
     pub fn retry_after(self, left: Option<Duration>) -> Option<Duration> {
         if self == Self::Quarantined {
             return None;
         }
-        Some(self.pause(left))
+        Some(self.delay(left))
     }
 
-    fn pause(self, left: Option<Duration>) -> Duration {
+    fn delay(self, left: Option<Duration>) -> Duration {
         match (self, left) {
-            (Self::Stopping, _) => STOPPING_PAUSE,
-            (Self::LinkFull, Some(left)) => LINK_PAUSE.min(left.mul_f64(RETRY_PART)),
-            // A client that can't wait that long may still find the key at another owner.
+            (Self::Stopping, _) => STOPPING_DELAY,
+            (Self::LinkFull, Some(left)) => LINK_DELAY.min(left.mul_f64(RETRY_FRACTION)),
+            // A client that can't wait that long may retry earlier: the key may have moved to another owner
+            // by then.
             (Self::CoolingDown { client_retry_after }, Some(left)) if client_retry_after < left => {
                 client_retry_after
             }
@@ -117,9 +118,9 @@
                     capacity_after: Some(after),
                 },
                 Some(left),
-            ) => after.min(left.mul_f64(RETRY_PART)),
-            (_, Some(left)) => left.mul_f64(RETRY_PART),
-            (_, None) => DEFAULT_PAUSE,
+            ) => after.min(left.mul_f64(RETRY_FRACTION)),
+            (_, Some(left)) => left.mul_f64(RETRY_FRACTION),
+            (_, None) => DEFAULT_DELAY,
         }
     }
 }
--- a/crates/gateway/src/relays.rs
+++ b/crates/gateway/src/relays.rs
@@ -1,26 +1,26 @@
-//! Which other gateways this one follows while no leader speaks to it.
+//! Which other gateways this one follows while it has no contact with a leader.
 //!
-//! Invariant: a relay is a second choice. It is asked only after the leader has been silent for a while,
-//! and left as soon as a leader speaks again; the state in force never goes back in either case, since
-//! both tell it by log index.
+//! Invariant: a relay is only a fallback. It is followed only after the leader has been silent for a while,
+//! and dropped as soon as there is contact with a leader again. The state never goes back in either case,
+//! because both sources identify it by log index.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::time::Duration;
 
-/// Silence of the leader after which relays are asked.
-const ASKED_AFTER: Duration = Duration::from_millis(900);
+/// Silence of the leader after which relays are followed.
+const NEEDED_AFTER: Duration = Duration::from_millis(900);
 
-/// Relays that are followed at a time.
-const FOLLOWED: usize = 2;
+/// Number of relays that are followed at a time.
+const FOLLOWED_RELAYS: usize = 2;
 
-/// Time for which a relay that was named is remembered.
+/// Time after which a relay is dropped if no replica or relay has named it again.
 const NAME_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Time for which a relay that was of no use is left alone.
+/// Time for which a relay is not tried again after a failure.
 const AVOIDED_FOR: Duration = Duration::from_millis(700);
 
-/// The gateways that were named as relays.
+/// The known relays, and which of them to follow.
 #[derive(Debug)]
 pub struct Relays {
     own: String,
@@ -29,7 +29,7 @@
 }
 
 impl Relays {
-    /// None known yet; `own` is this gateway's own address as a relay, empty for none.
+    /// Starts without known relays. `own` is this gateway's own address as a relay, empty if it is none.
     pub fn new(own: &str) -> Self {
         Self {
             own: own.to_owned(),
@@ -38,33 +38,35 @@
         }
     }
 
-    /// This gateway's own address as a relay; empty for none.
+    /// This gateway's own address as a relay; empty if it is none.
     pub fn own(&self) -> &str {
         &self.own
     }
 
-    /// Takes in addresses that a replica or a relay named.
+    /// Records relay addresses received from a replica or a relay, and drops expired ones.
     pub fn note(&mut self, now: Duration, addresses: &[String]) {
         for address in addresses.iter().filter(|address| **address != self.own) {
             self.named.insert(address.clone(), now);
         }
-        self.named.retain(|_, told| now < *told + NAME_LIFETIME);
+        self.named
+            .retain(|_, named_at| now < *named_at + NAME_LIFETIME);
         self.avoided_until.retain(|_, until| now < *until);
     }
 
-    /// A relay could not be reached, or has no fresh state itself.
+    /// Records that a relay could not be reached or has no current state itself.
     pub fn failed(&mut self, now: Duration, address: &str) {
         self.avoided_until
             .insert(address.to_owned(), now + AVOIDED_FOR);
     }
 
-    /// Whether relays are needed, when the leader last spoke at `leader_heard`.
+    /// Whether relays are needed. `leader_heard` is the time of the leader's last message, `None` if there
+    /// was none.
     pub fn are_needed(&self, now: Duration, leader_heard: Option<Duration>) -> bool {
-        now > leader_heard.unwrap_or_default() + ASKED_AFTER
+        now > leader_heard.unwrap_or_default() + NEEDED_AFTER
     }
 
-    /// Relays to follow besides those followed already: the next ones after this gateway's own address, so
-    /// that not all gateways ask the same.
+    /// Relays to follow in addition to `followed`: the next ones after this gateway's own address in the
+    /// order of addresses, so that gateways follow different relays.
     pub fn wanted(&self, now: Duration, followed: &[&String]) -> Vec<String> {
         let after = (Bound::Excluded(self.own.clone()), Bound::Unbounded);
         let before = (Bound::Unbounded, Bound::Excluded(self.own.clone()));
@@ -73,7 +75,7 @@
             let avoided = self.avoided_until.get(*address);
             avoided.is_none_or(|until| now >= *until) && !followed.contains(address)
         });
-        let free = FOLLOWED.saturating_sub(followed.len());
+        let free = FOLLOWED_RELAYS.saturating_sub(followed.len());
         usable.take(free).cloned().collect()
     }
 }
--- a/crates/gateway/src/replicas.rs
+++ b/crates/gateway/src/replicas.rs
@@ -1,11 +1,11 @@
-//! Which replicas of the directory this gateway links to: two, those of its own zone first, and not the same
-//! two as its neighbours.
+//! Which replicas of the directory this gateway opens links to: two, preferably of its own zone, and
+//! different ones for different gateways.
 //!
-//! Every replica holds the whole state and gives it on, so that the leader's work does not grow with the
-//! gateways, and what is fed seldom crosses zones. One link is followed, the other stands by.
+//! Every replica holds the whole state and distributes it, so that the leader's load does not grow with the
+//! number of gateways and little traffic crosses zones. One link is followed, the other is a standby.
 //!
-//! Invariant: a replica that is of no use is left alone for a while and the next one takes its place, until
-//! every known replica was tried.
+//! Invariant: a replica that is of no use is avoided for a while and the next one takes its place, until
+//! every known replica has been tried.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 use grebepin_directory::link::ReplicaAddress;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Links while one of them is fed: the one in use and one that stands by.
-const WANTED: usize = 2;
+/// Number of links while one of them receives updates: the followed one and a standby.
+const LINKS_WITH_FEED: usize = 2;
 
-/// Links while none is fed: a cut leaves some of many replicas without a leader, and those that have one must be
-/// found within the 2 s that a change may take.
-const WANTED_WITHOUT_FEED: usize = 4;
+/// Number of links while none receives updates. A network partition may separate some of many replicas from
+/// the leader, and a replica that still has contact must be found within the 2 s that a change may take.
+const LINKS_WITHOUT_FEED: usize = 4;
 
-/// Time for which a replica that was named is remembered.
+/// Time after which a replica is dropped if no replica has named it again.
 const NAME_LIFETIME: Duration = Duration::from_secs(30);
 
-/// A replica that was named.
+/// What other replicas told about a replica.
 #[derive(Debug)]
 struct Known {
     zone: String,
     votes: bool,
-    told: Duration,
+    named_at: Duration,
 }
 
-/// The replicas known, and which of them to link to.
+/// The known replicas, and which of them to open links to.
 #[derive(Debug)]
 pub struct Replicas {
     node: String,
@@ -42,7 +42,7 @@
 }
 
 impl Replicas {
-    /// For a gateway on machine `node` in `zone`; only the seeds are known yet.
+    /// Starts with the seeds only. `node` is the machine of this gateway, `zone` its zone.
     pub fn new(node: &str, zone: &str, seeds: Vec<String>) -> Self {
         Self {
             node: node.to_owned(),
@@ -53,57 +53,57 @@
         }
     }
 
-    /// Takes other seeds over from changed settings.
+    /// Replaces the seeds, after a change of the settings.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
         self.seeds = seeds;
     }
 
-    /// Takes in replicas that one of them named.
+    /// Records the replicas that are listed in a message of a replica.
     pub fn note(&mut self, now: Duration, replicas: &[ReplicaAddress]) {
         for replica in replicas {
             let known = Known {
                 zone: replica.zone.clone(),
                 votes: replica.votes,
-                told: now,
+                named_at: now,
             };
             self.known.insert(replica.address.clone(), known);
         }
     }
 
-    /// A replica is of no use for a while.
+    /// Avoids a replica for the time `pause`.
     pub fn avoid(&mut self, now: Duration, address: &str, pause: Duration) {
         self.avoided_until.insert(address.to_owned(), now + pause);
     }
 
-    /// A replica is of use again.
+    /// Ends the avoidance of a replica that has proved useful.
     pub fn stop_avoiding(&mut self, address: &str) {
         self.avoided_until.remove(address);
     }
 
-    /// Forgets what is too old.
+    /// Drops replicas that no replica has named for a while, and avoidances that are over.
     pub fn forget_expired(&mut self, now: Duration) {
         self.known
-            .retain(|_, known| now < known.told + NAME_LIFETIME);
+            .retain(|_, known| now < known.named_at + NAME_LIFETIME);
         self.avoided_until.retain(|_, until| now < *until);
     }
 
-    /// Zone of a replica; empty when nobody told it.
+    /// Zone of a replica; empty when it is not known.
     pub fn zone_of(&self, address: &str) -> &str {
         self.known.get(address).map_or("", |known| &known.zone)
     }
 
-    /// Order of preference: the lowest is linked to first.
+    /// Sort key for the order of preference; the lowest is preferred.
     pub fn rank(&self, address: &str) -> (bool, u64) {
         let is_remote = self.zone_of(address) != self.zone;
         let text = format!("{} {address}", self.node);
         (is_remote, xxh3_64(text.as_bytes()))
     }
 
-    /// The replicas to link to, best first.
+    /// The replicas to open links to, most preferred first. `has_feed` is true if some link receives updates.
     pub fn wanted(&self, now: Duration, has_feed: bool) -> Vec<String> {
         let count = match has_feed {
-            true => WANTED,
-            false => WANTED_WITHOUT_FEED,
+            true => LINKS_WITH_FEED,
+            false => LINKS_WITHOUT_FEED,
         };
         let mut usable = self.usable(now);
         usable.sort_by_cached_key(|address| self.rank(address));
@@ -111,8 +111,7 @@
         usable
     }
 
-    /// The replica that this gateway would choose among all that are named; `None` while only seeds are known, which
-    /// every gateway knows.
+    /// The most preferred replica; `None` while only seeds are known, because all gateways know the same few.
     pub fn preferred(&self, now: Duration) -> Option<String> {
         if self.known.is_empty() {
             return None;
@@ -121,14 +120,15 @@
         usable.min_by_key(|address| self.rank(address))
     }
 
-    /// The replicas to ask for a first state, while no leader speaks: the seeds and all voters.
+    /// The replicas to ask for an initial state while there is no contact with a leader: the seeds and all
+    /// voters.
     pub fn state_candidates(&self, now: Duration) -> Vec<String> {
-        let is_witness = |address: &String| {
+        let is_candidate = |address: &String| {
             let votes = self.known.get(address).is_some_and(|known| known.votes);
             votes || self.seeds.contains(address)
         };
         let usable = self.usable(now).into_iter();
-        usable.filter(is_witness).collect()
+        usable.filter(is_candidate).collect()
     }
 
     fn usable(&self, now: Duration) -> Vec<String> {
--- a/crates/gateway/src/retry_budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -1,12 +1,11 @@
-//! How often requests of a service may be sent a second time.
+//! Limits how many requests of a service are retried.
 //!
-//! Invariant: within any window, the second sendings of all gateways together stay below the
-//! deployment's bound, since each takes an equal part of the fixed allowance and its own
-//! requests' part of the proportional one.
+//! Invariant: in any window, the retries of all gateways together stay below the deployment's bound. Each
+//! gateway uses an equal share of the fixed allowance and the proportional allowance of its own requests.
 //!
-//! Of many gateways each has a part of few sendings and a fraction. Fractions are rounded by a fixed threshold of each
-//! gateway, spread evenly over all of them, so that together they use what they may: rounding down everywhere would
-//! leave all of it unused where a part is below one.
+//! With many gateways, the share of each is a small number with a fraction. Each gateway rounds at its own
+//! fixed threshold, and the thresholds are spread evenly over the gateways, so that together they use the
+//! whole allowance. If every gateway rounded down, nothing could be retried where the share is below one.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -15,60 +14,61 @@
 
 use crate::hashing::unit_interval;
 
-/// Part of the deployment's bound that is used; the rest covers counts that differ at the edges
-/// of windows.
-const USED_PART: f64 = 0.6;
+/// Fraction of the deployment's bound that is used. The rest covers differences in counting at the edges of
+/// windows.
+const USED_FRACTION: f64 = 0.6;
 
-/// Part of a gateway's budget that requests may use whose clients have another try left. The rest is for those that
-/// came back: a request that is refused again has no further chance, while one that is refused for the first time has
-/// the client's own.
-const FIRST_TRY_PART: f64 = 0.5;
+/// Fraction of a gateway's budget available to requests on their client's first attempt. The rest is reserved
+/// for client retries: when a retry is refused again the request has failed, while a first attempt can still
+/// be retried by its client.
+const FIRST_ATTEMPT_FRACTION: f64 = 0.5;
 
-/// The deployment's bound.
+/// The deployment's bound on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetBound {
-    /// Second sendings for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Time over which they are counted.
+    /// Length of the sliding window in which requests and retries are counted.
     pub window: Duration,
-    /// Second sendings of all gateways together that are allowed beyond the ratio.
+    /// Retries of all gateways together that are allowed in a window in addition to the ratio.
     pub slack: f64,
 }
 
-/// What happened lately for one service.
+/// Times of one service's requests and retries within the window.
 #[derive(Debug, Default)]
 struct Account {
     requests: VecDeque<Duration>,
-    repeats: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
 }
 
-/// The budgets of all services.
+/// The retry budgets of all services.
 #[derive(Debug)]
 pub struct RetryBudgets {
     bound: RetryBudgetBound,
     gateways: u32,
-    /// Fraction of a sending, from 0 to 1, from which on this gateway rounds its part up.
-    rounds_up_from: f64,
+    /// This gateway rounds its allowance up if the fractional part exceeds this threshold between 0 and 1.
+    round_up_threshold: f64,
     accounts: HashMap<String, Account>,
 }
 
 impl RetryBudgets {
-    /// RetryBudgets of the gateway on machine `node` under a bound; one gateway until more are known.
+    /// Budgets of the gateway on machine `node`. Assumes a single gateway until
+    /// [`RetryBudgets::set_gateways`] is called.
     pub fn new(bound: RetryBudgetBound, node: &str) -> Self {
         Self {
             bound,
             gateways: 1,
-            rounds_up_from: unit_interval(xxh3_64(node.as_bytes())),
+            round_up_threshold: unit_interval(xxh3_64(node.as_bytes())),
             accounts: HashMap::new(),
         }
     }
 
-    /// Takes over how many gateways share the bound.
+    /// Raises the number of gateways that share the bound. A lower number than before is ignored.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.gateways = self.gateways.max(gateways).max(1);
     }
 
-    /// How many gateways share the bound.
+    /// Number of gateways that share the bound, the largest that was set.
     pub fn gateways(&self) -> u32 {
         self.gateways
     }
@@ -79,23 +79,24 @@
         account.requests.push_back(now);
     }
 
-    /// Whether a request of a service may be sent once more; counts the sending if so. `came_back` tells whether its
-    /// client was refused before.
-    pub fn take(&mut self, service: &str, now: Duration, came_back: bool) -> bool {
+    /// Takes one retry out of a service's budget; returns false if none is left. `is_client_retry` is true if
+    /// the request itself is a retry by a client that was refused before.
+    pub fn take(&mut self, service: &str, now: Duration, is_client_retry: bool) -> bool {
         let (ratio, slack) = (self.bound.ratio, self.bound.slack);
         let gateways = f64::from(self.gateways);
-        let rounds_up_from = self.rounds_up_from;
+        let round_up_threshold = self.round_up_threshold;
         let account = self.account(service, now);
-        let usable = match came_back {
+        let usable = match is_client_retry {
             true => 1.0,
-            false => FIRST_TRY_PART,
+            false => FIRST_ATTEMPT_FRACTION,
         };
-        let part = usable * USED_PART * (ratio * account.requests.len() as f64 + slack / gateways);
-        let allowed = part.floor() + f64::from(u8::from(part.fract() > rounds_up_from));
-        if (account.repeats.len() as f64) + 1.0 > allowed {
+        let share =
+            usable * USED_FRACTION * (ratio * account.requests.len() as f64 + slack / gateways);
+        let allowed = share.floor() + f64::from(u8::from(share.fract() > round_up_threshold));
+        if (account.retries.len() as f64) + 1.0 > allowed {
             return false;
         }
-        account.repeats.push_back(now);
+        account.retries.push_back(now);
         true
     }
 
@@ -105,7 +106,7 @@
             self.accounts.insert(service.to_owned(), Account::default());
         }
         let account = self.accounts.get_mut(service).expect("just inserted");
-        for times in [&mut account.requests, &mut account.repeats] {
+        for times in [&mut account.requests, &mut account.retries] {
             while times.front().is_some_and(|at| *at < start) {
                 times.pop_front();
             }
--- a/crates/gateway/src/server_index.rs
+++ b/crates/gateway/src/server_index.rs
@@ -1,24 +1,26 @@
-//! Usable servers of each service, in the order in which this gateway prefers them.
+//! Usable servers of each service, in this gateway's order of preference.
 //!
-//! The order is this gateway's own: its zone first, a few of other zones soon after, and among these by a hash of the
-//! gateway and the server, so that neighbours prefer different servers and one that joins or leaves moves no other.
+//! The order differs between gateways: servers of the gateway's own zone come first, a few of other zones
+//! follow early, and within a zone servers are ordered by a hash of the gateway and the server. So gateways
+//! of a zone prefer different servers, and a server that joins or leaves changes the order of no other.
 //!
-//! Invariant: a change of one server costs a look-up, however many there are. With 10,000 servers, of which some
-//! hundred change within a second of a release, work that grew with all of them would take a gateway of 0.1 cores
-//! longer than the second.
+//! Invariant: the cost of a change of one server does not grow with the number of servers. Of 10,000 servers
+//! some hundred may change within a second during a release; work that grew with all of them would keep a
+//! gateway with 0.1 cores busy for longer than that second.
 
 use std::collections::{BTreeSet, HashMap};
 
 use grebepin_catalog::{Instance, InstanceId, InstanceState};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Servers of the own zone that come first in the order, see [`crate::load_balancer`].
+/// Number of servers of the own zone that come first in the order, see [`crate::load_balancer`].
 pub const LOCAL_FIRST: usize = 8;
 
-/// Servers of other zones that come next, so that a zone whose own servers are slow is left before they refuse.
+/// Number of servers of other zones that come next, so that requests leave a zone with slow servers before
+/// these reject them.
 pub const REMOTE_FIRST: usize = 4;
 
-/// Where a server stands in the order.
+/// Sort key of a server in the order of preference.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
     is_remote: bool,
@@ -26,20 +28,20 @@
     id: InstanceId,
 }
 
-/// The servers that new requests may go to.
+/// The servers that may get new requests.
 #[derive(Debug, Default)]
 pub struct ServerIndex {
-    /// Hash of this gateway's name, which makes its order different from its neighbours'.
+    /// Hash of this gateway's machine name, so that its order differs from that of other gateways.
     seed: u64,
     zone: String,
     services: HashMap<String, BTreeSet<Preference>>,
-    /// Servers that warm up, usable or not.
+    /// Servers that are warming up, usable or not.
     cold: BTreeSet<InstanceId>,
     updates: u64,
 }
 
 impl ServerIndex {
-    /// An empty index of the gateway on machine `node` in `zone`.
+    /// Empty index of the gateway on machine `node` in `zone`.
     pub fn new(node: &str, zone: &str) -> Self {
         Self {
             seed: xxh3_64_with_seed(node.as_bytes(), 0),
@@ -48,9 +50,10 @@
         }
     }
 
-    /// Takes in the present state of one server, which may be known already.
+    /// Adds a server or replaces its previous entry.
     pub fn update(&mut self, instance: &Instance, is_usable: bool) {
-        // It may have stood elsewhere: nothing keeps a server from naming another service or zone later on.
+        // The previous entry may be under another service or zone: a server may register again with other
+        // ones.
         let mut preference = self.preference(&instance.id, true);
         for is_remote in [true, false] {
             preference.is_remote = is_remote;
@@ -61,7 +64,7 @@
         self.add(instance, is_usable);
     }
 
-    /// Takes in a server that is not known yet, as from a whole state.
+    /// Adds a server that has no entry yet, as when a snapshot is indexed.
     pub fn add(&mut self, instance: &Instance, is_usable: bool) {
         self.updates += 1;
         match instance.is_cold && instance.state != InstanceState::Gone {
@@ -81,14 +84,14 @@
         }
     }
 
-    /// Begins anew, as after a whole state.
+    /// Removes all servers, before a snapshot is indexed. Keeps the count of updates.
     pub fn clear(&mut self) {
         self.services.clear();
         self.cold.clear();
     }
 
-    /// Usable servers of a service, the most preferred first: some of the own zone, a few of others, the rest of the
-    /// own zone, the rest.
+    /// Usable servers of a service, the most preferred first: [`LOCAL_FIRST`] of the own zone,
+    /// [`REMOTE_FIRST`] of others, the rest of the own zone, the rest.
     pub fn servers(&self, service: &str) -> impl Iterator<Item = &InstanceId> + Clone {
         let all = self.services.get(service);
         let first_remote = Preference {
@@ -105,12 +108,12 @@
         first.chain(rest).map(|preference| &preference.id)
     }
 
-    /// Servers that warm up.
+    /// Servers that are warming up.
     pub fn cold_servers(&self) -> impl Iterator<Item = &InstanceId> {
         self.cold.iter()
     }
 
-    /// How often a server was taken in since the start: what keeping the index has cost.
+    /// Number of servers added or replaced since the start, as a measure of the work done.
     pub fn updates(&self) -> u64 {
         self.updates
     }
--- a/crates/gateway/src/statement.rs
+++ b/crates/gateway/src/statement.rs
@@ -1,7 +1,7 @@
-//! What a server states of itself in an answer, read here and nowhere else: from any answer, whether it serves its request,
-//! turns it away or belongs to another one.
+//! What a server states about itself in the header fields of a response, whether it serves its request,
+//! rejects it or belongs to another request. All such fields are parsed here.
 //!
-//! A field that is given twice or holds no usable value states nothing, and the answer is used as if it were absent.
+//! A field that is present twice or has an unusable value is ignored, as if it were absent.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 
 use crate::headers::HeaderNames;
 
-/// Standard field of the time after which a server may be asked again, in seconds.
+/// Standard field with the time in seconds after which a client may retry.
 const RETRY_AFTER: &str = "Retry-After";
 
-/// Longest time that a server may ask for: a longer one is taken for a mistake.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(86_400);
+/// Longest accepted value; a longer one is taken for a mistake and ignored.
+const MAXIMUM_RETRY_AFTER: Duration = Duration::from_secs(86_400);
 
-/// What an answer says of the rate that its server takes.
+/// What a response states about the rate limit of its server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RateStatement {
-    /// Requests a second, from all gateways together.
+    /// A limit in requests a second from all gateways together.
     PerSecond(f64),
-    /// The server ran the request and states no rate.
+    /// The server ran the request and states no limit.
     Unbounded,
-    /// Nothing: the server did not run the request, or what it states can't be read.
+    /// Nothing: the server did not run the request, or the field is unusable.
     Unspecified,
 }
 
-/// What one answer states of its server.
+/// What a response states about its server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerStatement {
-    /// Time for which the server takes no more requests of this gateway.
+    /// Cooldown for which the server wants no requests of this gateway; read from 429 and 503 responses only.
     pub retry_after: Option<Duration>,
-    /// Whether it is about to end.
+    /// Whether the server is about to stop.
     pub is_leaving: bool,
-    /// The rate of requests that it takes from all gateways.
+    /// Rate limit of the server.
     pub rate: RateStatement,
-    /// Fields that can't be used.
+    /// Names of fields that were present but unusable.
     pub unusable: Vec<&'static str>,
 }
 
 impl ServerStatement {
-    /// Reads an answer.
+    /// Parses the fields of a response.
     pub fn of(response: &Response, names: &HeaderNames) -> Self {
         let mut unusable = Vec::new();
         let retry_after = match response.status {
@@ -49,7 +49,7 @@
         };
         let retry_after = retry_after.and_then(|seconds| {
             let time = Duration::try_from_secs_f64(seconds).ok();
-            let time = time.filter(|time| *time <= LONGEST_RETRY_AFTER);
+            let time = time.filter(|time| *time <= MAXIMUM_RETRY_AFTER);
             if time.is_none() {
                 unusable.push(RETRY_AFTER);
             }
@@ -82,16 +82,17 @@
     names: &HeaderNames,
     unusable: &mut Vec<&'static str>,
 ) -> RateStatement {
-    let is_given = response.fields.all(names.stated_rate).next().is_some();
+    let is_present = response.fields.all(names.stated_rate).next().is_some();
     let has_run = response.fields.get(names.signature).is_some();
     match number(&response.fields, names.stated_rate, unusable) {
         Some(rate) => RateStatement::PerSecond(rate),
-        None if has_run && !is_given => RateStatement::Unbounded,
+        None if has_run && !is_present => RateStatement::Unbounded,
         None => RateStatement::Unspecified,
     }
 }
 
-/// A finite number that is not negative, from a field that is given once.
+/// Parses a finite, non-negative number from a field that is present once. Adds the field to `unusable` if
+/// that fails.
 fn number(fields: &Fields, name: &'static str, unusable: &mut Vec<&'static str>) -> Option<f64> {
     let mut values = fields.all(name);
     let value = values.next()?;
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -1,17 +1,17 @@
-//! The way from a request to stop to the end.
+//! Graceful shutdown: from the request to stop to the exit of the process.
 //!
-//! Invariant: the gateway says at once that it wants no clients, and serves on those that come all
-//! the same until nobody can be sent here any more.
+//! Invariant: the gateway reports at once that it is not ready, and still serves the clients that connect
+//! until no more clients are directed to it.
 
 use std::time::Duration;
 
-/// Time in which everybody has learnt that no clients are wanted.
+/// Time until no more clients are directed to a gateway that has reported that it is not ready.
 const NOTICE_TIME: Duration = Duration::from_millis(2_600);
 
-/// Part of the time before the kill that is left unused.
-const RESERVE: Duration = Duration::from_millis(400);
+/// Safety margin before the process would be killed.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
 
-/// A gateway that was asked to stop.
+/// Times of the shutdown of a gateway that was asked to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stopping {
     began: Duration,
@@ -19,29 +19,30 @@
 }
 
 impl Stopping {
-    /// Asked at `began`, to be killed after `grace`.
+    /// The request to stop came at `began`, and the process is killed after `grace`.
     pub fn new(began: Duration, grace: Duration) -> Self {
         Self { began, grace }
     }
 
-    /// Whether connections without a request are closed by now.
+    /// Whether idle client connections are closed by now.
     pub fn closes_idle(&self, now: Duration) -> bool {
         now >= self.began + NOTICE_TIME.min(self.grace / 2)
     }
 
-    /// Whether a request that may take until `expires` is over before the end. One that may not be is
-    /// refused at once, since it would be cut off.
+    /// Whether a request whose deadline is `expires` ends before the process exits. Others must be refused at
+    /// once, because their connections would be closed before the response.
     pub fn can_finish(&self, expires: Duration) -> bool {
-        expires < self.last()
+        expires < self.exit_deadline()
     }
 
-    /// When the process ends at the latest.
-    fn last(&self) -> Duration {
-        self.began + self.grace.saturating_sub(RESERVE)
+    /// Latest exit of the process.
+    fn exit_deadline(&self) -> Duration {
+        self.began + self.grace.saturating_sub(KILL_MARGIN)
     }
 
-    /// Whether the process ends now, with so many requests under way.
+    /// Whether the process exits now. `flights` is the number of requests in flight, `clients` of client
+    /// connections.
     pub fn is_over(&self, now: Duration, flights: usize, clients: usize) -> bool {
-        now >= self.last() || (self.closes_idle(now) && flights == 0 && clients == 0)
+        now >= self.exit_deadline() || (self.closes_idle(now) && flights == 0 && clients == 0)
     }
 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -1,6 +1,6 @@
-//! The state that the directory tells, ready for look-ups.
+//! Routing table: the replicated state received from the directory, indexed for lookups.
 //!
-//! Invariant: entries are applied in the order of the log, each once; the state never goes back.
+//! Invariant: log entries are applied in order, each once, and the state never goes back.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,30 +13,30 @@
 
 use crate::server_index::ServerIndex;
 
-/// What happened to the state.
+/// What an update changed in the state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TableChange {
-    /// Whether servers changed, or the zones that they may be used in.
+    /// Whether servers or evacuated zones changed.
     pub servers: bool,
-    /// Whether servers or owners changed.
+    /// Whether servers, evacuated zones or owners of shards changed.
     pub owners: bool,
-    /// Servers that drain since an entry that was applied now.
+    /// Servers that the applied entries set to draining. Empty after a snapshot.
     pub draining: Vec<InstanceId>,
 }
 
-/// The state in force.
+/// The replicated state and its indexes.
 #[derive(Debug, Default)]
 pub struct Table {
     catalog: Catalog,
     applied: u64,
     routes: RouteIndex,
-    /// Rank of the least urgent route; 0 is the most urgent.
-    least_urgent: u32,
+    /// Priority number of the route with the lowest priority; 0 is the highest priority.
+    lowest_priority: u32,
     servers: ServerIndex,
 }
 
 impl Table {
-    /// An empty table of the gateway on machine `node` in `zone`.
+    /// Empty table of the gateway on machine `node` in `zone`.
     pub fn new(node: &str, zone: &str) -> Self {
         Self {
             servers: ServerIndex::new(node, zone),
@@ -44,27 +44,27 @@
         }
     }
 
-    /// Log index in force; 0 before anything was told.
+    /// Log index of the state; 0 before the first snapshot or entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// Whether any configuration is in force.
+    /// Whether the state contains any configuration.
     pub fn is_configured(&self) -> bool {
         !self.catalog.items().is_empty()
     }
 
-    /// The whole state as bytes, for another gateway.
+    /// The whole state encoded as a frame, for another gateway.
     ///
     /// # Errors
-    /// It can't be encoded.
+    /// The state can't be encoded.
     pub fn snapshot(&self) -> Result<Vec<u8>, FrameError> {
         let mut bytes = Vec::new();
         encode_frame(&self.catalog, &mut bytes)?;
         Ok(bytes)
     }
 
-    /// Takes over a whole state, unless it is no newer.
+    /// Replaces the state by a snapshot of log index `index`, unless the present state is as new.
     pub fn replace(&mut self, index: u64, catalog: Catalog) -> TableChange {
         if index <= self.applied {
             return TableChange::default();
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Applies entries; those already applied are passed over, and nothing after a gap is taken.
+    /// Applies log entries. Skips those that were applied before, and stops at the first gap in their
+    /// indexes.
     pub fn apply(&mut self, entries: &[(u64, Entry)]) -> TableChange {
         let mut change = TableChange::default();
         let (mut items, mut zones) = (false, false);
@@ -125,7 +126,7 @@
             ItemContent::Route(route) => Some(route.priority),
             _ => None,
         });
-        self.least_urgent = priorities.max().unwrap_or(0);
+        self.lowest_priority = priorities.max().unwrap_or(0);
     }
 
     fn index_servers(&mut self) {
@@ -143,38 +144,39 @@
         }
     }
 
-    /// Route of a request.
+    /// Name and route of a request; `None` when no route matches.
     pub fn route(&self, host: &str, path: &str) -> Option<(&str, Arc<Route>)> {
         let (name, route) = self.routes.find(host, path)?;
         Some((name, Arc::clone(route)))
     }
 
-    /// How many ranks a route is more urgent than the least urgent one.
+    /// Number of priority levels between a route and the route of the lowest priority.
     pub fn priority_above_lowest(&self, route: &Route) -> u32 {
-        self.least_urgent.saturating_sub(route.priority)
+        self.lowest_priority.saturating_sub(route.priority)
     }
 
-    /// Whether a service's keys are owned by shard.
+    /// Whether the keys of a service are divided into shards with one owner each.
     pub fn is_sharded(&self, service: &str) -> bool {
         self.catalog.is_sharded(service)
     }
 
-    /// Zones that are evacuated.
+    /// Zones that are being evacuated.
     pub fn evacuated_zones(&self) -> &BTreeSet<String> {
         self.catalog.evacuated_zones()
     }
 
-    /// Requests that crash the servers which run them.
+    /// Fingerprints of requests that crash the servers that run them.
     pub fn quarantine(&self) -> &Quarantine {
         self.catalog.quarantine()
     }
 
-    /// Requests a second that a server of a service bears while it warms up, from all gateways together.
+    /// Rate limit of a server of a service during its warm-up, in requests a second from all gateways
+    /// together; `None` without a limit.
     pub fn warmup_rate(&self, service: &str) -> Option<f64> {
         self.catalog.warmup_rate(service)
     }
 
-    /// Servers that warm up.
+    /// Servers that are warming up, of services with a warm-up rate.
     pub fn cold_servers(&self) -> impl Iterator<Item = &InstanceId> {
         let cold = self.servers.cold_servers();
         let cold = cold.filter_map(|id| self.catalog.instance(id));
@@ -182,12 +184,12 @@
             .map(|one| &one.id)
     }
 
-    /// Connections that one server of a service takes from all callers together.
+    /// Maximum number of connections to one server of a service, from all clients together.
     pub fn maximum_connections(&self, service: &str) -> Option<u32> {
         Some(self.catalog.service(service)?.maximum_connections)
     }
 
-    /// Bounds on clients.
+    /// Configured bounds on clients; `None` before they are configured.
     pub fn limits(&self) -> Option<&Limits> {
         let item = self.catalog.items().get(ItemKind::Limits, "")?;
         match &item.content {
@@ -196,41 +198,42 @@
         }
     }
 
-    /// Servers of a service that take new requests, those first that this gateway prefers.
+    /// Servers of a service that may get new requests, the most preferred first.
     pub fn usable_servers(&self, service: &str) -> impl Iterator<Item = &Instance> + Clone {
         let servers = self.servers.servers(service);
         servers.filter_map(|id| self.catalog.instance(id))
     }
 
-    /// How often a server was put in its place among the usable ones: the work that changes have cost.
+    /// Number of index updates of single servers since the start, as a measure of the work done.
     pub fn server_updates(&self) -> u64 {
         self.servers.updates()
     }
 
-    /// A server.
+    /// A server instance by its id.
     pub fn instance(&self, id: &InstanceId) -> Option<&Instance> {
         self.catalog.instance(id)
     }
 
-    /// A shard of a service; `None` before any of its shards was assigned.
+    /// A shard of a service; `None` before any shard of the service was assigned.
     pub fn shard(&self, service: &str, shard: usize) -> Option<&Shard> {
         self.catalog.ownership(service)?.shards().get(shard)
     }
 
-    /// Whether a server is known and has not ended.
+    /// Whether a server instance is known and has not ended.
     pub fn is_live(&self, id: &InstanceId) -> bool {
         self.catalog.is_live(id)
     }
 }
 
-/// Divides the requests of each route among its services in proportion to their weights.
+/// Splits the requests of each route among its services in proportion to their weights (smooth weighted round
+/// robin).
 #[derive(Debug, Default)]
 pub struct Splitter {
     credits: BTreeMap<String, Vec<i64>>,
 }
 
 impl Splitter {
-    /// Number of the target that takes the next request of a route.
+    /// Index of the target that gets the next request of a route.
     pub fn next(&mut self, name: &str, route: &Route) -> usize {
         if route.targets.len() == 1 {
             return 0;
@@ -244,8 +247,8 @@
             *credit += i64::from(target.weight);
             total += i64::from(target.weight);
         }
-        let weighted = (0..credits.len()).filter(|number| route.targets[*number].weight > 0);
-        let chosen = weighted.max_by_key(|number| credits[*number]).unwrap_or(0);
+        let weighted = (0..credits.len()).filter(|index| route.targets[*index].weight > 0);
+        let chosen = weighted.max_by_key(|index| credits[*index]).unwrap_or(0);
         credits[chosen] -= total;
         chosen
     }
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/verdict.rs
@@ -1,26 +1,28 @@
-//! What a server's answer, or the lack of one, proves about a request.
+//! What the response of a server, or the lack of one, proves about the execution of a request.
 
 use grebepin_catalog::RequestKind;
 use grebepin_reactor::http::Response;
 
 use crate::headers::HeaderNames;
 
-/// What is known of one sending.
+/// Outcome of one attempt to send a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The answer is the server's own and goes to the client as it is.
+    /// The response comes from the server and is passed to the client as it is.
     Final,
-    /// The answer is the server's own failure; a repeatable request may try elsewhere.
+    /// The response reports an error of the server; a repeatable request may be retried at another server.
     Failed,
-    /// The server says that it did not run the request.
+    /// The server states that it did not run the request.
     NotRun,
-    /// The server is not, or not yet, the owner of the key or not the one expected; it did not run it.
+    /// The server did not run the request because it is not, or not yet, the owner of the key, or not the
+    /// expected instance.
     NotOwner,
-    /// The answer is of no use and the request may have run.
+    /// There is no usable response, and the request may have run.
     Unknown,
 }
 
-/// Whether an answer belongs to a request: it carries its id, or no id and no claim to have run it.
+/// Whether a response belongs to a request: it carries the id of the request, or no id and a status other
+/// than 2xx.
 pub fn belongs_to_request(response: &Response, request_id: &str, names: &HeaderNames) -> bool {
     match response.fields.get(names.request_id) {
         Some(id) => id == request_id,
@@ -28,7 +30,7 @@
     }
 }
 
-/// Judges an answer that belongs to the request.
+/// Classifies a response that belongs to the request.
 pub fn classify(response: &Response, names: &HeaderNames) -> Verdict {
     let says_not_run = response.fields.get(names.not_executed).is_some();
     let is_signed = response.fields.get(names.signature).is_some();
@@ -38,14 +40,15 @@
         _ if says_not_run => Verdict::NotRun,
         200..=299 if !is_signed || is_encoded => Verdict::Unknown,
         200..=299 => Verdict::Final,
-        // Without the server's word these would promise the client what nobody knows.
+        // Clients may take these statuses to mean that the request did not run, which the server did not
+        // state.
         408 | 429 | 503 => Verdict::Unknown,
         500..=599 => Verdict::Failed,
         _ => Verdict::Final,
     }
 }
 
-/// Whether a request may be sent again after a sending of which this is known.
+/// Whether a request may be retried after an attempt with this outcome.
 pub fn may_retry(verdict: Verdict, kind: RequestKind) -> bool {
     match verdict {
         Verdict::Final => false,
