--- a/crates/gateway/examples/fingerprint_cost.rs
+++ b/crates/gateway/examples/fingerprint_cost.rs
@@ -1,4 +1,4 @@
-//! What the fingerprint of a request costs.
+//! Measures the time that the fingerprint of a request takes.
 //!
 //! `cargo run --release -p grebepin-gateway --example fingerprint_cost`
 
@@ -31,7 +31,7 @@
         black_box(fingerprint(black_box(&request), &NAMES));
     }
     println!(
-        "{:?} a request of {BODY_BYTES} bytes",
+        "{:?} per request with a body of {BODY_BYTES} bytes",
         started.elapsed() / ROUNDS
     );
 }
--- a/crates/gateway/examples/placement_policies.rs
+++ b/crates/gateway/examples/placement_policies.rs
@@ -1,5 +1,6 @@
-//! Which servers of a pooled service should a gateway use? Plays a zone's gateways and servers on virtual time with
-//! the shipped `LoadBalancer`, and prints for each width what callers get.
+//! Compares numbers of servers that a gateway considers first for a request to a pooled service. Simulates a
+//! zone's gateways and servers in virtual time with the `LoadBalancer` of the gateway, and prints the
+//! response times for each number.
 //!
 //! `cargo run --release -p grebepin-gateway --example placement_policies`
 
@@ -13,10 +14,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Rest after which a server closes a connection.
-const CONNECTION_REST: Duration = Duration::from_millis(9_300);
+/// Idle time after which a server closes a connection.
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_millis(9_300);
 
-/// A service in one zone, and those who ask it.
+/// A service in one zone, its gateways and its requests.
 struct Load {
     name: &'static str,
     gateways: usize,
@@ -24,9 +25,9 @@
     slots: u32,
     /// Requests a second of all gateways.
     rate: f64,
-    /// Mean time of a request at a server of speed 1, and its coefficient of variation.
+    /// Mean service time in seconds at a server of speed 1, and its coefficient of variation.
     work: f64,
-    spread: f64,
+    variation: f64,
     target: Duration,
     speeds: &'static [f64],
 }
@@ -39,7 +40,7 @@
         slots: 2,
         rate: 117.0,
         work: 0.21,
-        spread: 0.8,
+        variation: 0.8,
         target: Duration::from_millis(800),
         speeds: &[0.5, 1.0, 1.0, 1.5],
     },
@@ -50,7 +51,7 @@
         slots: 2,
         rate: 109.0,
         work: 0.11,
-        spread: 0.5,
+        variation: 0.5,
         target: Duration::from_millis(400),
         speeds: &[0.5, 1.0, 1.0, 1.5],
     },
@@ -61,7 +62,7 @@
         slots: 2,
         rate: 380.0,
         work: 0.21,
-        spread: 0.8,
+        variation: 0.8,
         target: Duration::from_millis(800),
         speeds: &[0.5, 1.0, 1.0, 1.5],
     },
@@ -72,7 +73,7 @@
         slots: 4,
         rate: 480.0,
         work: 0.2,
-        spread: 0.8,
+        variation: 0.8,
         target: Duration::from_millis(600),
         speeds: &[0.5, 1.0, 1.0, 1.5],
     },
@@ -80,7 +81,7 @@
 
 #[derive(Default)]
 struct Outcome {
-    asked: u32,
+    requests: u32,
     in_time: u32,
     connections: u32,
     times: Vec<f64>,
@@ -89,27 +90,27 @@
 struct Server {
     speed: f64,
     running: u32,
-    /// Requests that wait: gateway, arrival, work.
+    /// Queued requests: gateway, arrival, work.
     waiting: VecDeque<(usize, Duration, f64)>,
 }
 
 struct Gateway {
     balance: LoadBalancer,
     order: Vec<usize>,
-    /// When each kept connection came to rest, by server.
-    resting: HashMap<usize, Vec<Duration>>,
+    /// By server, the time since which each of its connections has been idle.
+    idle: HashMap<usize, Vec<Duration>>,
 }
 
-fn log_normal(random: &mut SmallRng, mean: f64, spread: f64) -> f64 {
-    let variance = (1.0 + spread * spread).ln();
+fn log_normal(random: &mut SmallRng, mean: f64, variation: f64) -> f64 {
+    let variance = (1.0 + variation * variation).ln();
     let one: f64 = random.random::<f64>().max(f64::MIN_POSITIVE);
     let two: f64 = random.random();
     let normal = (-2.0 * one.ln()).sqrt() * (std::f64::consts::TAU * two).cos();
     mean * (normal * variance.sqrt() - variance / 2.0).exp()
 }
 
-/// Plays `load` for `seconds`; counts requests that came after `from` seconds.
-fn play(load: &Load, width: usize, seed: u64, from: f64, seconds: f64) -> Outcome {
+/// Simulates `load` for `seconds`; counts requests that arrive after `from` seconds.
+fn simulate(load: &Load, width: usize, seed: u64, from: f64, seconds: f64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let instances: Vec<Instance> = (0..load.servers)
         .map(|number| Instance {
@@ -145,7 +146,7 @@
             Gateway {
                 balance,
                 order: index.servers("s").map(|id| numbers[id]).collect(),
-                resting: HashMap::new(),
+                idle: HashMap::new(),
             }
         })
         .collect();
@@ -165,9 +166,9 @@
             one.balance.end(id, now);
             one.balance.note_service_time("s", took);
             one.balance.answered(id, now, took, load.target);
-            one.resting.entry(number).or_default().push(now);
+            one.idle.entry(number).or_default().push(now);
             if began.as_secs_f64() >= from {
-                outcome.asked += 1;
+                outcome.requests += 1;
                 outcome.in_time += u32::from(took <= load.target);
                 outcome.times.push(took.as_secs_f64());
             }
@@ -187,23 +188,23 @@
         let pause = -random.random::<f64>().max(f64::MIN_POSITIVE).ln() / load.rate;
         next += Duration::from_secs_f64(pause);
         let gateway = random.random_range(0..load.gateways);
-        let work = log_normal(&mut random, load.work, load.spread);
+        let work = log_normal(&mut random, load.work, load.variation);
         let one = &mut gateways[gateway];
         let ranked = one.order.iter().map(|number| &instances[*number]);
         let chosen = one
             .balance
             .choose_from_first(width, ranked, "z", now, &mut || random.random::<f64>());
         let Some(chosen) = chosen else {
-            outcome.asked += 1;
+            outcome.requests += 1;
             continue;
         };
         let number = numbers[&chosen.id];
         one.balance.begin(&chosen.id);
-        let resting = one.resting.entry(number).or_default();
-        let kept = resting
+        let idle = one.idle.entry(number).or_default();
+        let is_reused = idle
             .pop()
-            .is_some_and(|since| now < since + CONNECTION_REST);
-        outcome.connections += u32::from(!kept && now.as_secs_f64() >= from);
+            .is_some_and(|since| now < since + CONNECTION_IDLE_TIMEOUT);
+        outcome.connections += u32::from(!is_reused && now.as_secs_f64() >= from);
         let server = &mut servers[number];
         if server.running < load.slots {
             server.running += 1;
@@ -218,16 +219,16 @@
 
 fn main() {
     println!(
-        "| load | width | time | in time | median ms | 99 of 100 ms | connections a request |"
+        "| load | servers considered first | time | in time | median ms | 99th percentile ms | connections per request |"
     );
     println!("| --- | ---: | --- | ---: | ---: | ---: | ---: |");
     for load in &LOADS {
         for (from, until) in [(0.0, 25.0), (100.0, 160.0)] {
             for width in [4, 8, 12, 16, 32, usize::MAX / 4] {
-                let (mut asked, mut in_time, mut connections, mut times) = (0, 0, 0, Vec::new());
+                let (mut requests, mut in_time, mut connections, mut times) = (0, 0, 0, Vec::new());
                 for seed in 0..3 {
-                    let outcome = play(load, width, seed, from, until);
-                    asked += outcome.asked;
+                    let outcome = simulate(load, width, seed, from, until);
+                    requests += outcome.requests;
                     in_time += outcome.in_time;
                     connections += outcome.connections;
                     times.extend(outcome.times);
@@ -241,10 +242,10 @@
                 println!(
                     "| {} | {shown} | {from} to {until} s | {:.4} | {:.0} | {:.0} | {:.2} |",
                     load.name,
-                    f64::from(in_time) / f64::from(asked),
+                    f64::from(in_time) / f64::from(requests),
                     at(0.5),
                     at(0.99),
-                    f64::from(connections) / f64::from(asked)
+                    f64::from(connections) / f64::from(requests)
                 );
             }
         }
--- a/crates/gateway/examples/stated_rate_policies.rs
+++ b/crates/gateway/examples/stated_rate_policies.rs
@@ -1,5 +1,6 @@
-//! How should gateways share the rate that a server states? Plays one server and all gateways on virtual time, and
-//! prints for each way the part of the rate that is used and the worst window.
+//! Compares ways for gateways to share the rate that a server states. Simulates one server and all gateways
+//! in virtual time, and prints for each way the fraction of the rate that is used and the largest number of
+//! requests in a window.
 //!
 //! `cargo run --release -p grebepin-gateway --example stated_rate_policies`
 
@@ -11,20 +12,20 @@
 use std::time::Duration;
 
 use grebepin_grants::Permits;
-use rate_sharing::{Got, Load, Permitted, Sharing, Turns};
+use rate_sharing::{Load, Outcome, Permitted, Sharing, Turns};
 
 const SEEDS: u64 = 20;
 const SIZES: [u32; 5] = [3, 11, 80, 300, 984];
 const RATES: [f64; 3] = [0.5, 3.7, 20.0];
 
-/// A bucket of one token at each gateway, filled by an equal part of the rate.
-struct Bucket {
+/// Token bucket with a capacity of one token.
+struct TokenBucket {
     per_second: f64,
     tokens: f64,
     filled: Duration,
 }
 
-impl Sharing for Bucket {
+impl Sharing for TokenBucket {
     fn may_send(&mut self, now: Duration) -> bool {
         let passed = (now - self.filled).as_secs_f64();
         self.filled = now;
@@ -35,53 +36,54 @@
     }
 }
 
-/// Worst window and mean part used over all seeds.
-fn sum(all: &[Got]) -> (usize, f64) {
-    let worst = all.iter().map(|got| got.worst).max().unwrap_or(0);
-    let used: f64 = all.iter().map(|got| got.used).sum();
+/// Largest number of requests in a window, and mean fraction of the rate used, over all seeds.
+fn summarize(all: &[Outcome]) -> (usize, f64) {
+    let worst = all.iter().map(|outcome| outcome.worst).max().unwrap_or(0);
+    let used: f64 = all.iter().map(|outcome| outcome.used).sum();
     (worst, used / all.len() as f64)
 }
 
 fn main() {
-    println!("gateways, rate, asked: used by each alone | a bucket | turns | permits; worst window by each, allowed");
+    println!("gateways, rate, demand: fraction used with the whole rate at each gateway | token buckets | turns | permits; largest window with each, allowed");
     for gateways in SIZES {
         for rate in RATES {
-            for (asked, crowd) in [(1.5, None), (3.0, None), (0.5, Some(30.0))] {
+            for (demand, surge) in [(1.5, None), (3.0, None), (0.5, Some(30.0))] {
                 let load = Load {
                     gateways,
                     rate,
-                    asked,
-                    crowd: crowd.map(|crowd| (Duration::from_secs(30), crowd)),
-                    lasts: Duration::from_secs(60),
+                    demand,
+                    surge: surge.map(|surge| (Duration::from_secs(30), surge)),
+                    duration: Duration::from_secs(60),
                 };
                 let bucket = |parts: u32| {
-                    move |_| Bucket {
+                    move |_| TokenBucket {
                         per_second: rate / f64::from(parts),
                         tokens: 0.0,
                         filled: Duration::ZERO,
                     }
                 };
-                let alone: Vec<Got> = (0..SEEDS).map(|seed| load.play(seed, bucket(1))).collect();
-                let parts: Vec<Got> = (0..SEEDS)
-                    .map(|seed| load.play(seed, bucket(gateways)))
+                let whole: Vec<Outcome> =
+                    (0..SEEDS).map(|seed| load.run(seed, bucket(1))).collect();
+                let divided: Vec<Outcome> = (0..SEEDS)
+                    .map(|seed| load.run(seed, bucket(gateways)))
                     .collect();
                 let turns = |seed: u64| {
                     let server = format!("i-{seed}");
-                    load.play(seed, |number| Turns::new(number, gateways, &server, rate))
+                    load.run(seed, |number| Turns::new(number, gateways, &server, rate))
                 };
-                let turns: Vec<Got> = (0..SEEDS).map(turns).collect();
+                let turns: Vec<Outcome> = (0..SEEDS).map(turns).collect();
                 let permitted = |seed: u64| {
                     let leader = Rc::new(RefCell::new(Permits::default()));
-                    load.play(seed, |_| Permitted::new(&leader, rate))
+                    load.run(seed, |_| Permitted::new(&leader, rate))
                 };
-                let permits: Vec<Got> = (0..SEEDS).map(permitted).collect();
+                let permits: Vec<Outcome> = (0..SEEDS).map(permitted).collect();
                 let allowed = turns[0].allowed;
-                let [alone, parts, turns, permits] =
-                    [alone, parts, turns, permits].map(|all| sum(&all));
+                let [whole, divided, turns, permits] =
+                    [whole, divided, turns, permits].map(|all| summarize(&all));
                 println!(
-                    "{gateways:4} {rate:5} {asked}{}: {:.2} | {:.2} | {:.2} | {:.2}; {:4} | {:4} | {:4} | {:4} of {allowed:.1}",
-                    if crowd.is_some() { " then 30" } else { "" },
-                    alone.1, parts.1, turns.1, permits.1, alone.0, parts.0, turns.0, permits.0
+                    "{gateways:4} {rate:5} {demand}{}: {:.2} | {:.2} | {:.2} | {:.2}; {:4} | {:4} | {:4} | {:4} of {allowed:.1}",
+                    if surge.is_some() { " then 30" } else { "" },
+                    whole.1, divided.1, turns.1, permits.1, whole.0, divided.0, turns.0, permits.0
                 );
             }
         }
--- a/crates/gateway/examples/table_memory.rs
+++ b/crates/gateway/examples/table_memory.rs
@@ -1,5 +1,5 @@
-//! What the replicated state costs a gateway in memory: counts the bytes that tables of growing size ask of the
-//! allocator, without what the heap adds to each allocation.
+//! Measures the memory that the replicated state takes in a gateway: the bytes that tables of several sizes
+//! request from the allocator, without the allocator's own overhead.
 //!
 //! `cargo run --release -p grebepin-gateway --example table_memory`
 
@@ -84,7 +84,7 @@
 }
 
 fn main() {
-    println!("| servers | shards owned | routes | bytes held | bytes at the peak of reading | bytes on the wire | packed | ms to read | ms to index |");
+    println!("| servers | shards owned | routes | bytes held | peak bytes while decoding | bytes on the wire | compressed | ms to decode | ms to index |");
     println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for (servers, shards, routes) in [
         (0, 0, 0),
@@ -100,16 +100,16 @@
         ALLOCATOR.reset_peak_usage();
         let began = Instant::now();
         let state: Catalog = decode_frame(&frame[4..]).expect("it decodes");
-        let read = began.elapsed();
+        let decoded = began.elapsed();
         let mut table = Table::new("g", "boa-vista");
         table.replace(1, state);
-        let indexed = began.elapsed() - read;
+        let indexed = began.elapsed() - decoded;
         let held = ALLOCATOR.current_usage() - before;
         let peak = ALLOCATOR.peak_usage() - before;
         println!(
             "| {servers} | {shards} | {routes} | {held} | {peak} | {} | {packed} | {:.1} | {:.1} |",
             frame.len(),
-            read.as_secs_f64() * 1e3,
+            decoded.as_secs_f64() * 1e3,
             indexed.as_secs_f64() * 1e3
         );
     }
--- a/crates/gateway/tests/crash_history.rs
+++ b/crates/gateway/tests/crash_history.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers of servers that crashed while they ran a request.
+//! A gateway's history of servers that crashed while they ran a request.
 
 mod header_names;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn two_tries_of_a_request_are_one_and_other_requests_are_not() {
+fn attempts_of_a_request_share_a_fingerprint_and_other_requests_do_not() {
     let of = |target, fields: &[(&str, &str)], body| {
         fingerprint(&request("POST", target, fields, body), &NAMES)
     };
@@ -55,26 +55,26 @@
 }
 
 #[test]
-fn a_crash_is_told_until_the_request_turns_out_harmless_or_time_passes() {
+fn a_crash_is_reported_until_it_expires_or_the_request_completes_elsewhere() {
     let mut crashes = CrashHistory::default();
     let poison = fingerprint(&request("GET", "/p", &[], ""), &NAMES);
     let server = InstanceId::started_at("i-1", 5);
     crashes.note_crash(at(10), poison, &server);
     crashes.note_crash(at(10), poison, &server);
     assert!(crashes.has_unreported() && crashes.is_suspect(poison));
-    let told = crashes.reports(at(12));
-    assert_eq!(told.len(), 1, "one life crashes once");
-    assert_eq!((&told[0].server, told[0].age), (&server, at(2)));
+    let reports = crashes.reports(at(12));
+    assert_eq!(reports.len(), 1, "one instance crashes once");
+    assert_eq!((&reports[0].server, reports[0].age), (&server, at(2)));
     assert!(!crashes.has_unreported());
-    assert_eq!(crashes.reports(at(13)).len(), 1, "told again");
-    assert!(crashes.reports(at(200)).is_empty(), "too long ago");
+    assert_eq!(crashes.reports(at(13)).len(), 1, "reported again");
+    assert!(crashes.reports(at(200)).is_empty(), "expired");
     crashes.note_crash(at(300), poison, &server);
     crashes.clear(poison);
-    assert!(crashes.is_empty(), "another server ran it to its end");
+    assert!(crashes.is_empty(), "another server completed it");
 }
 
 #[test]
-fn many_crashes_keep_the_memory_bounded() {
+fn the_number_of_recorded_crashes_is_bounded() {
     let mut crashes = CrashHistory::default();
     for number in 0..10_000 {
         let one = fingerprint(&request("GET", &format!("/{number}"), &[], ""), &NAMES);
--- a/crates/gateway/tests/header_names/mod.rs
+++ b/crates/gateway/tests/header_names/mod.rs
@@ -1,4 +1,4 @@
-//! Names of header fields for tests and examples.
+//! Header field names for tests and examples.
 
 use grebepin_gateway::HeaderNames;
 
--- a/crates/gateway/tests/initial_source.rs
+++ b/crates/gateway/tests/initial_source.rs
@@ -1,4 +1,4 @@
-//! A crowd of gateways without a state: spread over the replicas, and none turns away from a state on its way.
+//! Initial snapshots of many gateways: spread over the replicas, and no pending transfer is abandoned.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,21 +12,24 @@
 }
 
 #[test]
-fn a_preferred_replica_is_asked_at_once_and_another_after_a_moment() {
+fn the_preferred_replica_is_asked_at_once_and_others_after_a_delay() {
     let mut source = InitialSource::default();
     assert!(source.may_request(ms(10), true));
-    assert!(!source.may_request(ms(10), false), "nobody has spoken yet");
+    assert!(
+        !source.may_request(ms(10), false),
+        "no replica has sent a message yet"
+    );
     source.note_replica_message(ms(10));
     source.note_replica_message(ms(50));
     assert!(!source.may_request(ms(69), false));
     assert!(
         source.may_request(ms(70), false),
-        "counted from the first word"
+        "counted from the first message"
     );
 }
 
 #[test]
-fn a_state_on_its_way_is_waited_for_unless_its_replica_is_lost_or_silent() {
+fn a_pending_transfer_is_awaited_until_its_replica_is_lost_or_it_times_out() {
     let mut source = InitialSource::default();
     source.note_replica_message(ms(0));
     source.note_state_requested(ms(100));
@@ -38,9 +41,10 @@
     assert!(source.may_request(ms(1_101), true));
 }
 
-/// Of 984 gateways that know three seeds at first, a seed's zone had one replica for 200 of them.
+/// Guards against a choice among the seeds only: of 984 gateways that know three seeds at first, 200 then shared
+/// the one replica known in their zone.
 #[test]
-fn a_crowd_takes_its_states_from_all_replicas_alike() {
+fn simultaneous_starts_spread_transfers_over_all_replicas() {
     let named: Vec<ReplicaAddress> = (0..25)
         .map(|number| ReplicaAddress {
             address: format!("10.{}.0.{}:7600", number % 5, 200 + number),
@@ -60,5 +64,5 @@
     }
     let most = asked.values().max().copied().unwrap_or_default();
     assert_eq!(asked.len(), 25);
-    assert!(most <= 2 * 984 / 25, "{most} at one replica");
+    assert!(most <= 2 * 984 / 25, "{most} gateways at one replica");
 }
--- a/crates/gateway/tests/initial_state.rs
+++ b/crates/gateway/tests/initial_state.rs
@@ -1,4 +1,4 @@
-//! Whose state a gateway takes while no leader speaks.
+//! Which replica's state a gateway takes while it has no contact with a leader.
 
 use grebepin_directory::link::{Head, ReplicaAddress};
 use grebepin_gateway::initial_state::newest_of_majority;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_disk_counts_for_nothing() {
+fn a_replica_that_lost_its_disk_does_not_count() {
     let heads = [("a", head(true, 7, &ALL)), ("b", head(false, 0, &[]))];
     assert_eq!(chosen(&heads), None);
 }
@@ -60,7 +60,8 @@
     assert_eq!(chosen(&heads), Some("d"));
 }
 
-/// Learners outnumbered the voters of a large group, so that no majority was ever found.
+/// Guards against counting learners: they may outnumber the voters of a large group, and no majority would
+/// ever be found.
 #[test]
 fn learners_do_not_count_towards_the_majority() {
     let learner = |address: &str| ReplicaAddress {
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Servers that are about to end, as a gateway learns of it.
+//! Servers that are about to stop, as known to a gateway.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_leaving_server_is_used_for_a_part_of_the_drain_time_since_the_first_word() {
+fn a_leaving_server_is_used_for_a_fraction_of_the_drain_time_since_the_first_notice() {
     let mut leaving = LeavingServers::new(at(2_000));
     let id = InstanceId::new("i-1");
     assert!(leaving.is_usable(&id, at(0)) && !leaving.is_leaving(&id));
@@ -18,7 +18,7 @@
     assert!(leaving.is_usable(&id, at(2_000)) && leaving.is_leaving(&id));
     assert!(
         !leaving.note(&id, at(2_000)),
-        "a later word changes nothing"
+        "a later notice changes nothing"
     );
     for late in [3_000, 100_000] {
         assert!(!leaving.is_usable(&id, at(late)), "{late} ms");
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn another_life_of_a_server_does_not_leave() {
+fn a_restarted_server_is_not_leaving() {
     let mut leaving = LeavingServers::new(at(2_000));
     leaving.note(&InstanceId::started_at("i-1", 1_000), at(0));
-    let reborn = InstanceId::started_at("i-1", 2_000);
-    assert!(!leaving.is_leaving(&reborn));
-    assert!(leaving.is_usable(&reborn, at(60_000)));
+    let restarted = InstanceId::started_at("i-1", 2_000);
+    assert!(!leaving.is_leaving(&restarted));
+    assert!(leaving.is_usable(&restarted, at(60_000)));
     leaving.retain(|_| false);
     assert!(leaving.is_empty());
 }
--- a/crates/gateway/tests/policies.rs
+++ b/crates/gateway/tests/policies.rs
@@ -1,4 +1,4 @@
-//! RetryBudgets, balance and limits, division by weight, stopping.
+//! Retry budgets, load balancing and concurrency limits, traffic split by weight, relays, stopping.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn all_gateways_together_stay_within_the_bound_on_second_sendings() {
+fn all_gateways_together_stay_within_the_bound_on_retries() {
     let bound = RetryBudgetBound {
         ratio: 0.2,
         window: ms(10_000),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_budget_comes_back_with_time() {
+fn a_budget_recovers_over_time() {
     let bound = RetryBudgetBound {
         ratio: 0.0,
         window: ms(1_000),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_server_out_of_reach_is_set_aside_for_a_growing_time_and_used_when_no_other_is_left() {
+fn an_unreachable_server_is_ejected_for_a_growing_time_and_used_when_no_other_is_left() {
     let servers = [instance("a", "here"), instance("b", "there")];
     let mut balance = LoadBalancer::default();
     assert_eq!(
@@ -99,7 +99,7 @@
     assert_eq!(chosen(&balance, &servers, ms(60)).as_deref(), Some("fast"));
 }
 
-/// Brings a server's limit to its least.
+/// Cuts a server's limit to its minimum.
 fn overload(balance: &mut LoadBalancer, id: &InstanceId) {
     for number in 0..20 {
         balance.overloaded(id, ms(number * 200));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_limit_grows_with_good_answers_while_it_holds_requests_back() {
+fn a_limit_grows_with_fast_responses_while_it_holds_requests_back() {
     let servers = [instance("a", "here")];
     let id = &servers[0].id;
     let mut balance = LoadBalancer::default();
@@ -140,9 +140,10 @@
     assert!(balance.has_room(id, now), "two at a time");
 }
 
-/// A quiet server's limit had grown to 32, and a key that became busy filled its queue at once.
+/// Guards against a limit that grows to 32 at a lightly used server: a key that then became busy would fill
+/// the server's queue at once.
 #[test]
-fn answers_to_lone_requests_raise_no_limit() {
+fn responses_to_single_requests_do_not_raise_the_limit() {
     let servers = [instance("a", "here")];
     let id = &servers[0].id;
     let mut balance = LoadBalancer::default();
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn a_refusal_names_a_time_that_leaves_the_client_most_of_its_own() {
+fn the_retry_delay_of_a_refusal_leaves_most_of_the_clients_time() {
     let left = Some(ms(1_500));
     assert_eq!(Refusal::NoOwner.retry_after(left), Some(ms(495)));
     assert_eq!(Refusal::Unconfigured.retry_after(left), Some(ms(495)));
@@ -187,24 +188,24 @@
 }
 
 #[test]
-fn nobody_is_asked_back_with_a_request_that_crashes_its_servers() {
+fn a_quarantined_request_gets_no_retry_delay() {
     assert_eq!(Refusal::Quarantined.retry_after(Some(ms(1_500))), None);
     assert_eq!(Refusal::Quarantined.retry_after(None), None);
 }
 
 #[test]
-fn a_stopping_gateway_serves_on_and_ends_before_it_is_killed() {
+fn a_stopping_gateway_continues_to_serve_and_exits_before_it_is_killed() {
     let stopping = Stopping::new(ms(1_000), ms(6_000));
     assert!(!stopping.closes_idle(ms(3_000)));
     assert!(!stopping.is_over(ms(3_000), 0, 0), "clients may still come");
     assert!(stopping.is_over(ms(3_700), 0, 0));
-    assert!(!stopping.is_over(ms(3_700), 1, 1), "a request is under way");
+    assert!(!stopping.is_over(ms(3_700), 1, 1), "a request is in flight");
     assert!(stopping.is_over(ms(6_700), 1, 1));
 }
 
-/// A request taken 5.4 s after the request to stop was cut off 0.2 s later.
+/// Guards against a request that was accepted 5.4 s after the request to stop and cut off 0.2 s later.
 #[test]
-fn a_stopping_gateway_refuses_what_it_could_not_finish() {
+fn a_stopping_gateway_refuses_requests_that_it_could_not_finish() {
     let stopping = Stopping::new(ms(23_107), ms(6_000));
     assert!(!stopping.can_finish(ms(28_500 + 1_000)));
     assert!(
@@ -221,11 +222,14 @@
 }
 
 #[test]
-fn relays_are_asked_only_after_the_leader_was_silent_for_a_while() {
+fn relays_are_followed_only_after_the_leader_was_silent_for_a_while() {
     let relays = named("b", &["a", "c"]);
     assert!(!relays.are_needed(ms(10_500), Some(ms(10_000))));
     assert!(relays.are_needed(ms(11_000), Some(ms(10_000))));
-    assert!(relays.are_needed(ms(1_000), None), "none ever spoke");
+    assert!(
+        relays.are_needed(ms(1_000), None),
+        "no leader has ever sent a message"
+    );
 }
 
 #[test]
@@ -238,7 +242,7 @@
 }
 
 #[test]
-fn a_relay_of_no_use_is_left_alone_for_a_while() {
+fn a_failed_relay_is_avoided_for_a_while() {
     let mut relays = named("b", &["c", "d", "e"]);
     relays.failed(ms(100), "c");
     assert_eq!(relays.wanted(ms(200), &[]), ["d", "e"]);
@@ -248,7 +252,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// After any number of requests each part is within one request of its weight's share.
+    /// After any number of requests, the count of each target differs from its share by weight by at most the
+    /// number of targets.
     #[test]
     fn requests_are_divided_by_weight(weights in prop::collection::vec(0_u32..100, 1..5)) {
         prop_assume!(weights.iter().any(|weight| *weight > 0));
@@ -281,25 +286,22 @@
 }
 
 #[test]
-fn a_crowd_is_told_once_and_counts_begin_anew() {
+fn an_overload_is_reported_once_and_counts_are_reset() {
     let mut counts = LoadCounts::default();
     counts.note_request("s", 7);
     assert!(
         !counts.is_overloaded(),
-        "a request that found room is no crowd"
+        "an accepted request is no overload"
     );
     counts.note_overload();
     assert!(counts.is_overloaded());
     let sample = counts.take();
     assert_eq!(sample.shards, [("s".to_owned(), vec![(7, 1)])]);
-    assert!(
-        !counts.is_overloaded(),
-        "the next report has its usual time again"
-    );
+    assert!(!counts.is_overloaded(), "the next report is not sent early");
     assert!(counts.take().shards.is_empty());
 }
 
-/// With hundreds of servers a gateway would spend its requests on trying each of them once.
+/// With hundreds of servers, a gateway would otherwise spend its requests on trying each of them once.
 #[test]
 fn untried_servers_are_tried_in_the_own_zone_and_not_across_zones() {
     let tried = instance("tried", "here");
@@ -324,11 +326,11 @@
     assert_eq!(
         chosen(&balance, &both, ms(30)).as_deref(),
         Some("remote"),
-        "a busy zone lends from others"
+        "a busy zone uses servers of others"
     );
 }
 
-/// One gateway's requests at 400 servers of its zone, each answered at once: which servers took them.
+/// Names of the servers that get one gateway's requests. Each request ends before the next begins.
 fn servers_used(
     balance: &mut LoadBalancer,
     servers: &[Instance],
@@ -339,7 +341,7 @@
         let now = ms(number * 500);
         let server = balance
             .choose(servers.iter(), "here", now, &mut || 0.5)
-            .expect("nobody is busy");
+            .expect("no server is busy");
         balance.begin(&server.id);
         balance.end(&server.id, now + ms(200));
         balance.answered(&server.id, now + ms(200), ms(200), ms(800));
@@ -349,8 +351,8 @@
     used
 }
 
-/// Of a large service a gateway uses few servers, so that callers get those it knows to be fast over connections
-/// that are kept.
+/// A gateway uses few of the 400 servers of a large service, so that requests go to servers known to be fast,
+/// over connections that are kept alive.
 #[test]
 fn a_gateway_of_a_large_fleet_keeps_to_few_servers() {
     let servers: Vec<Instance> = (0..400)
@@ -361,7 +363,7 @@
 }
 
 #[test]
-fn servers_further_down_take_over_when_the_first_have_no_room_or_are_set_aside() {
+fn servers_further_down_take_over_when_the_first_have_no_room_or_are_ejected() {
     let servers: Vec<Instance> = (0..400)
         .map(|number| instance(&format!("i-{number}"), "here"))
         .collect();
@@ -376,13 +378,11 @@
         balance.connection_failed(&server.id, ms(0));
     }
     let chosen = balance.choose(servers.iter(), "here", ms(1), &mut || 0.5);
-    assert!(
-        chosen.is_some(),
-        "one that is set aside is better than none"
-    );
+    assert!(chosen.is_some(), "an ejected server is better than none");
 }
 
-/// What gateways with some requests each may send a second time together, and the deployment's bound.
+/// Number of retries that gateways with `requests` requests each are allowed together, and the deployment's
+/// bound.
 fn budget_used(gateways: u32, requests: u64, ratio: f64, slack: f64) -> (f64, f64) {
     let bound = RetryBudgetBound {
         ratio,
@@ -404,24 +404,25 @@
     (used as f64, allowed)
 }
 
-/// Each of 984 gateways has 2.3 second sendings of 13 requests, or 0.6 without any: together they use the same part of
-/// the bound as few gateways do, where each for itself would round down to 2 and to none.
+/// Each of 984 gateways may retry 2.3 times for 13 requests, or 0.6 times without any. Together they must use
+/// the same fraction of the bound as few gateways do, which they would not if each rounded down to 2 or to
+/// none.
 #[test]
 fn many_gateways_use_as_large_a_part_of_the_budget_as_few() {
     for (requests, slack) in [(13, 1_040.0), (0, 1_040.0), (2, 500.0)] {
         for gateways in [30, 300, 984, 2_000] {
             let (used, allowed) = budget_used(gateways, requests, 0.2, slack);
-            let part = used / allowed;
+            let fraction = used / allowed;
             assert!(
-                (0.54..0.66).contains(&part),
-                "{gateways}, {requests}: {part}"
+                (0.54..0.66).contains(&fraction),
+                "{gateways}, {requests}: {fraction}"
             );
         }
     }
 }
 
 #[test]
-fn half_of_the_budget_is_left_to_requests_that_came_back() {
+fn half_of_the_budget_is_reserved_for_client_retries() {
     let bound = RetryBudgetBound {
         ratio: 0.2,
         window: ms(10_000),
@@ -431,10 +432,10 @@
     for request in 0..500 {
         budgets.note_request("s", ms(request));
     }
-    let mut taken = |came_back| {
-        let tries = 0..500;
-        tries
-            .filter(|_| budgets.take("s", ms(9_000), came_back))
+    let mut taken = |is_client_retry| {
+        let attempts = 0..500;
+        attempts
+            .filter(|_| budgets.take("s", ms(9_000), is_client_retry))
             .count()
     };
     assert_eq!((taken(false), taken(true), taken(false)), (30, 30, 0));
--- a/crates/gateway/tests/rate_sharing/mod.rs
+++ b/crates/gateway/tests/rate_sharing/mod.rs
@@ -1,4 +1,4 @@
-//! A server that states a rate, and gateways that share it, on virtual time.
+//! Simulation in virtual time of a server that states a rate and of the gateways that share it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,20 +11,22 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Time over which requests are counted, and how many more than the rate allows may come in it.
+/// Window in which requests are counted. At most `FACTOR` times the rate plus `SLACK` requests may arrive in
+/// it.
 const WINDOW: Duration = Duration::from_secs(4);
 const FACTOR: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
-/// Time after the first statement from which on the rate is kept.
+/// Time after the first statement of the rate from which on the bound is checked.
 const SETTLES_AFTER: Duration = Duration::from_secs(3);
 
-/// Whether one gateway may send to the server, and that it did.
+/// How one gateway shares the rate.
 pub trait Sharing {
+    /// Whether the gateway may send a request now; counts the request if so.
     fn may_send(&mut self, now: Duration) -> bool;
 }
 
-/// Turns of the gateways that were told.
+/// A gateway that knows the rate and uses its turns.
 pub struct Turns {
     id: InstanceId,
     gateways: u32,
@@ -35,8 +37,8 @@
     pub fn new(number: u32, gateways: u32, server: &str, rate: f64) -> Self {
         let id = InstanceId::new(server);
         let mut rates = StatedRates::new(&format!("gateway-{number}"));
-        let told = RateStatement::PerSecond(rate);
-        rates.note(&id, Duration::ZERO, Duration::ZERO, told);
+        let statement = RateStatement::PerSecond(rate);
+        rates.note(&id, Duration::ZERO, Duration::ZERO, statement);
         Self {
             id,
             gateways,
@@ -52,7 +54,8 @@
     }
 }
 
-/// Gateways that ask one leader for a permit for each request; the way there takes no time.
+/// A gateway that asks a leader, shared by all, for a permit for each request. Messages to the leader take no
+/// time.
 pub struct Permitted {
     id: InstanceId,
     rate: f64,
@@ -86,45 +89,46 @@
     }
 }
 
-/// What comes to one server.
+/// Load on one server.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub gateways: u32,
-    /// Requests a second that it states.
+    /// Rate that the server states, in requests a second.
     pub rate: f64,
-    /// Requests a second that come, as a multiple of the rate.
-    pub asked: f64,
-    /// The same from a time on.
-    pub crowd: Option<(Duration, f64)>,
-    pub lasts: Duration,
+    /// Requests that arrive at the gateways, as a multiple of the rate.
+    pub demand: f64,
+    /// Time from which on the demand changes, and the new demand.
+    pub surge: Option<(Duration, f64)>,
+    /// Length of the simulation.
+    pub duration: Duration,
 }
 
-/// What the server got.
+/// Results of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Got {
-    /// Requests in the worst window.
+pub struct Outcome {
+    /// Largest number of requests in a window.
     pub worst: usize,
-    /// How many may come in one.
+    /// Number of requests allowed in a window.
     pub allowed: f64,
-    /// Part of the rate that was used.
+    /// Fraction of the rate that was used.
     pub used: f64,
 }
 
 impl Load {
-    fn asked_at(&self, now: Duration) -> f64 {
-        let crowd = self.crowd.filter(|(from, _)| now >= *from);
-        self.rate * crowd.map_or(self.asked, |(_, asked)| asked)
+    fn arrival_rate(&self, now: Duration) -> f64 {
+        let surge = self.surge.filter(|(from, _)| now >= *from);
+        self.rate * surge.map_or(self.demand, |(_, demand)| demand)
     }
 
-    /// Plays the load with gateways that all were told at the start.
-    pub fn play<S: Sharing>(&self, seed: u64, gateway: impl Fn(u32) -> S) -> Got {
+    /// Runs the load with gateways that know the rate from the start.
+    pub fn run<S: Sharing>(&self, seed: u64, gateway: impl Fn(u32) -> S) -> Outcome {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut gateways: Vec<S> = (0..self.gateways).map(gateway).collect();
         let mut sent = Vec::new();
         let mut now = Duration::ZERO;
-        while now < self.lasts {
+        while now < self.duration {
             let pause = -random.random::<f64>().max(f64::MIN_POSITIVE).ln();
-            now += Duration::from_secs_f64(pause / self.asked_at(now));
+            now += Duration::from_secs_f64(pause / self.arrival_rate(now));
             let at = random.random_range(0..gateways.len());
             if gateways[at].may_send(now) && now >= SETTLES_AFTER {
                 sent.push(now);
@@ -137,8 +141,8 @@
             within.count()
         };
         let worst = sent.iter().map(|from| in_window(*from)).max();
-        let counted = (self.lasts - SETTLES_AFTER).as_secs_f64();
-        Got {
+        let counted = (self.duration - SETTLES_AFTER).as_secs_f64();
+        Outcome {
             worst: worst.unwrap_or(0),
             allowed: self.rate * WINDOW.as_secs_f64() * FACTOR + SLACK,
             used: sent.len() as f64 / counted / self.rate,
--- a/crates/gateway/tests/replicas.rs
+++ b/crates/gateway/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Which replicas of the directory a gateway links to.
+//! Which replicas of the directory a gateway opens links to.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_zone_with_one_replica_stands_by_in_another() {
+fn a_zone_with_one_replica_has_its_standby_link_in_another() {
     let known = gateway("g", "z1", ZONES);
     let wanted = known.wanted(at(1), true);
     assert_eq!(known.zone_of(&wanted[0]), "z1");
@@ -76,9 +76,10 @@
     assert_eq!(wanted, ["a", "b"]);
 }
 
-/// A cut leaves half of the replicas without a leader: the others are found, whichever they are.
+/// A network partition may leave half of the replicas without a leader. The others must be found, whichever
+/// they are.
 #[test]
-fn replicas_of_no_use_make_room_until_all_were_tried() {
+fn avoided_replicas_are_replaced_until_all_were_tried() {
     let mut known = gateway("g", "z3", 18);
     let mut tried = Vec::new();
     for round in 0..5 {
@@ -98,17 +99,17 @@
 }
 
 #[test]
-fn voters_and_seeds_are_asked_for_a_first_state() {
+fn voters_and_seeds_are_asked_for_an_initial_state() {
     let known = gateway("g", "z3", 18);
-    let mut state_candidates = known.state_candidates(at(1));
-    state_candidates.sort();
+    let mut candidates = known.state_candidates(at(1));
+    candidates.sort();
     let mut voters: Vec<String> = (0..5).map(address).collect();
     voters.sort();
-    assert_eq!(state_candidates, voters);
+    assert_eq!(candidates, voters);
 }
 
 #[test]
-fn replicas_that_nobody_names_any_more_are_forgotten() {
+fn replicas_that_are_no_longer_named_are_dropped() {
     let mut known = gateway("g", "z3", 18);
     known.note(at(20_000), &replicas(12));
     known.forget_expired(at(31_000));
--- a/crates/gateway/tests/stated_rate.rs
+++ b/crates/gateway/tests/stated_rate.rs
@@ -1,4 +1,4 @@
-//! What is known of the rates that servers state in their answers.
+//! Rates that servers state in their responses, and how gateways share them.
 
 mod rate_sharing;
 
@@ -44,7 +44,8 @@
     }
 }
 
-/// Answers of several connections cross: one to an older request says nothing about a rate stated since.
+/// Responses on several connections may arrive out of order. A response to an older request without a rate
+/// must not end a rate that was stated since.
 #[test]
 fn an_answer_to_an_older_request_does_not_end_a_rate() {
     let mut rates = StatedRates::new("gateway");
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn another_life_of_a_server_and_one_that_ended_have_no_rate() {
+fn a_restarted_server_and_an_ended_one_have_no_rate() {
     let mut rates = StatedRates::new("gateway");
     let id = InstanceId::started_at("i-1", 1_000);
     rates.note(&id, at(300), at(100), RateStatement::PerSecond(4.0));
@@ -67,32 +68,34 @@
     assert!(rates.is_empty());
 }
 
-/// Gateways that each keep to a rate, or a part of it, may still send too much together: what counts is their sum.
+/// Gateways that each keep to their share of a rate may still send too much together, so their sum is
+/// checked.
 #[test]
 fn gateways_of_every_fleet_size_keep_to_a_rate_together() {
-    let asked = [(1.5, None), (3.0, None), (30.0, None), (0.5, Some(30.0))];
+    let demands = [(1.5, None), (3.0, None), (30.0, None), (0.5, Some(30.0))];
     for gateways in [1, 3, 11, 80, 300, 984] {
         for rate in [0.5, 3.7, 20.0] {
-            for (asked, crowd) in asked {
+            for (demand, surge) in demands {
                 let load = Load {
                     gateways,
                     rate,
-                    asked,
-                    crowd: crowd.map(|crowd| (at(20_000), crowd)),
-                    lasts: at(40_000),
+                    demand,
+                    surge: surge.map(|surge| (at(20_000), surge)),
+                    duration: at(40_000),
                 };
                 for seed in 0..5 {
                     let server = format!("i-{seed}");
                     let leader = Rc::new(RefCell::new(Permits::default()));
-                    let permitted = load.play(seed, |_| Permitted::new(&leader, rate));
+                    let permitted = load.run(seed, |_| Permitted::new(&leader, rate));
                     assert!(
                         permitted.worst as f64 <= permitted.allowed,
                         "permits, seed {seed}, {load:?}: {permitted:?}"
                     );
-                    let got = load.play(seed, |number| Turns::new(number, gateways, &server, rate));
+                    let outcome =
+                        load.run(seed, |number| Turns::new(number, gateways, &server, rate));
                     assert!(
-                        got.worst as f64 <= got.allowed,
-                        "seed {seed}, {load:?}: {got:?}"
+                        outcome.worst as f64 <= outcome.allowed,
+                        "seed {seed}, {load:?}: {outcome:?}"
                     );
                 }
             }
@@ -100,43 +103,44 @@
     }
 }
 
-/// What callers ask for beyond a rate is not lost to places that nobody uses.
+/// With a demand above the rate, few gateways leave few turns unused.
 #[test]
 fn few_gateways_use_most_of_a_rate() {
     for gateways in [1, 3, 11] {
         let load = Load {
             gateways,
             rate: 3.7,
-            asked: 3.0,
-            crowd: None,
-            lasts: at(60_000),
+            demand: 3.0,
+            surge: None,
+            duration: at(60_000),
         };
         let seeds = 0..10_u64;
         let used = seeds.map(|seed| {
             let server = format!("i-{seed}");
-            let got = load.play(seed, |number| Turns::new(number, gateways, &server, 3.7));
-            got.used
+            let outcome = load.run(seed, |number| Turns::new(number, gateways, &server, 3.7));
+            outcome.used
         });
         let mean = used.sum::<f64>() / 10.0;
         assert!(mean > 0.75, "{gateways} gateways used {mean:.2}");
     }
 }
 
-/// Nobody else serves the keys of a server that states a rate: no place is left unused for the size of the fleet.
+/// No other server runs requests for the keys of a server that states a rate, so permits must use most of the
+/// rate whatever the number of gateways.
 #[test]
 fn fleets_of_every_size_use_most_of_a_rate_by_permits() {
     for gateways in [1, 3, 11, 80, 300, 984] {
-        for (rate, asked) in [(0.5, 3.0), (3.7, 1.5), (3.7, 3.0), (20.0, 3.0)] {
+        for (rate, demand) in [(0.5, 3.0), (3.7, 1.5), (3.7, 3.0), (20.0, 3.0)] {
             let load = Load {
                 gateways,
                 rate,
-                asked,
-                crowd: None,
-                lasts: at(63_000),
+                demand,
+                surge: None,
+                duration: at(63_000),
             };
             let used = (0..10_u64).map(|seed| {
                 let leader = Rc::new(RefCell::new(Permits::default()));
-                load.play(seed, |_| Permitted::new(&leader, rate)).used
+                load.run(seed, |_| Permitted::new(&leader, rate)).used
             });
             let mean = used.sum::<f64>() / 10.0;
             assert!(mean > 0.8 && mean <= 0.95, "{load:?}: {mean:.2} used");
@@ -153,7 +157,7 @@
     assert!((0..10_000).all(|now| !rates.is_open(&id, at(now), None)));
 }
 
-/// A rate that rises and falls with each answer must not give a gateway a new turn each time.
+/// A rate that rises and falls with each response must not give a gateway a new turn each time.
 #[test]
 fn a_rate_that_changes_with_each_answer_gives_no_extra_turns() {
     let mut rates = StatedRates::new("gateway");
--- a/crates/gateway/tests/statement.rs
+++ b/crates/gateway/tests/statement.rs
@@ -1,4 +1,4 @@
-//! What an answer states of its server.
+//! What a response states about its server.
 
 mod header_names;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_time_to_wait_is_read_from_answers_that_turn_a_request_away() {
+fn retry_after_is_read_from_responses_that_reject_a_request() {
     let cases: [(u16, FieldList, Option<u64>); 7] = [
         (
             503,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_value_that_cannot_be_used_states_nothing_and_is_named() {
+fn an_unusable_value_is_ignored_and_reported() {
     let cases: [FieldList; 8] = [
         &[("Retry-After", "")],
         &[("Retry-After", "-1")],
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_server_leaves_by_one_value_only() {
+fn only_one_value_marks_a_leaving_server() {
     let cases: [(FieldList, bool, usize); 5] = [
         (&[("X-Leaving", "1"), ("X-Signature", "s")], true, 0),
         (&[("X-Signature", "s")], false, 0),
--- a/crates/gateway/tests/table_cost.rs
+++ b/crates/gateway/tests/table_cost.rs
@@ -1,4 +1,4 @@
-//! What a change costs a gateway, and in which order it prefers servers.
+//! The cost of applying a change, and a gateway's order of preference of servers.
 
 use grebepin_catalog::{Catalog, Command, Entry, Instance, InstanceId, InstanceState};
 use grebepin_gateway::server_index::{LOCAL_FIRST, REMOTE_FIRST};
@@ -16,7 +16,7 @@
     }
 }
 
-/// A table of a gateway in zone `a` with servers in zones `a` and `b` in turn.
+/// Table of a gateway in zone `a` with servers alternately in zones `a` and `b`.
 fn table_of(node: &str, servers: usize) -> Table {
     let mut catalog = Catalog::default();
     for number in 0..servers {
@@ -39,15 +39,15 @@
 }
 
 #[test]
-fn a_server_that_leaves_costs_the_same_work_however_many_there_are() {
+fn a_draining_server_costs_the_same_work_however_many_there_are() {
     let work = [1_000, 2_000, 4_000].map(|servers| {
         let mut table = table_of("g", servers);
         let before = table.server_updates();
-        let leaves = Command::SetState {
+        let drain = Command::SetState {
             id: InstanceId::new("i-7"),
             state: InstanceState::Draining,
         };
-        let change = table.apply(&[(2, entry(vec![leaves]))]);
+        let change = table.apply(&[(2, entry(vec![drain]))]);
         assert!(change.servers && change.owners);
         assert_eq!(names(&table).len(), servers - 1);
         table.server_updates() - before
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_and_neighbours_prefer_different_servers() {
+fn the_own_zone_comes_first_and_gateways_prefer_different_servers() {
     let order = names(&table_of("g-1", 200));
     let number = |name: &String| name[2..].parse::<usize>().expect("a number");
     let is_local = |name: &String| number(name).is_multiple_of(2);
@@ -94,7 +94,7 @@
     assert!(!order[LOCAL_FIRST..first].iter().any(is_local));
     assert!(order[first..100 + REMOTE_FIRST].iter().all(is_local));
     assert_ne!(order, names(&table_of("g-2", 200)));
-    // One server that joins moves none of the others.
+    // A server that joins does not change the order of the others.
     let more = names(&table_of("g-1", 201));
     let others: Vec<String> = more.into_iter().filter(|name| name != "i-200").collect();
     assert_eq!(others, order);
--- a/crates/gateway/tests/verdict.rs
+++ b/crates/gateway/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! What each answer of a server proves, and when a request may be sent again.
+//! What the response of a server proves about a request, and when the request may be retried.
 
 mod header_names;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn each_answer_proves_what_it_says_and_no_more() {
+fn responses_are_classified_by_status_and_header_fields() {
     let signed: FieldList = &[("X-Signature", "s")];
     let not_run: FieldList = &[("X-Not-Run", "1")];
     let encoded: FieldList = &[("X-Signature", "s"), ("Content-Encoding", "gzip")];
@@ -41,9 +41,9 @@
         (408, &[], Verdict::Unknown),
         (421, &[], Verdict::NotOwner),
     ];
-    for (status, fields, verdict) in cases {
-        let judged = classify(&response(status, fields), &NAMES);
-        assert_eq!(judged, verdict, "{status} {fields:?}");
+    for (status, fields, expected) in cases {
+        let verdict = classify(&response(status, fields), &NAMES);
+        assert_eq!(verdict, expected, "{status} {fields:?}");
     }
 }
 
--- a/crates/gateway/tests/zones_and_warmup.rs
+++ b/crates/gateway/tests/zones_and_warmup.rs
@@ -1,4 +1,5 @@
-//! Requests to servers that warm up, summed over all gateways, and into zones that are evacuated.
+//! Requests of all gateways together to servers that are warming up, and requests into zones that are being
+//! evacuated.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,7 +8,7 @@
 use grebepin_gateway::evacuations::Evacuations;
 use grebepin_gateway::warmup::WarmupTurns;
 
-/// Requests a second that a server bears while it warms up, and what the deployment bounds a second to.
+/// Warm-up rate of a server in requests a second, and the deployment's bound on the requests in any second.
 const RATE: f64 = 6.7;
 const BOUND: usize = 18;
 
@@ -15,8 +16,8 @@
     Duration::from_millis(number)
 }
 
-/// Times at which gateways send to one cold server when each always has a request for it. `gateways` tells how many
-/// there are at a time.
+/// Times at which gateways send to one cold server when each always has a request for it. `gateways` is the
+/// number of gateways at a time.
 fn sent(server: &str, gateways: impl Fn(u64) -> u32, until_ms: u64) -> Vec<u64> {
     let id = InstanceId::new(server);
     let mut all: Vec<WarmupTurns> = (0..200)
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn eighty_gateways_together_stay_within_what_each_of_a_zones_cold_servers_bears() {
+fn eighty_gateways_together_stay_within_the_bound_of_each_cold_server() {
     let servers: Vec<String> = (0..120).map(|number| format!("i-{number}")).collect();
     let mut all = 0;
     for server in &servers {
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn few_gateways_stay_within_it_as_well() {
+fn few_gateways_together_stay_within_the_bound() {
     for count in 1..6 {
         let times = sent("i-0", |_| count, 4_000);
         let most = most_in_a_second(&times);
@@ -107,24 +108,24 @@
 }
 
 #[test]
-fn owners_in_an_evacuated_zone_are_asked_for_a_part_of_the_time_only() {
+fn owners_in_an_evacuated_zone_get_requests_for_a_fraction_of_the_time_only() {
     let mut evacuations = Evacuations::new(ms(5_000));
     assert!(evacuations.owner_may_serve("east", ms(0)));
-    let news = evacuations.update(ms(1_000), &zones(&["east"]), true);
-    assert_eq!(news.len(), 1);
+    let changes = evacuations.update(ms(1_000), &zones(&["east"]), true);
+    assert_eq!(changes.len(), 1);
     assert!(evacuations
         .update(ms(2_000), &zones(&["east"]), true)
         .is_empty());
     assert!(evacuations.owner_may_serve("east", ms(4_000)));
     assert!(!evacuations.owner_may_serve("east", ms(4_600)));
     assert!(evacuations.owner_may_serve("west", ms(4_600)));
-    let news = evacuations.update(ms(9_000), &zones(&[]), true);
-    assert!(news.iter().all(|one| !one.evacuated) && news.len() == 1);
+    let changes = evacuations.update(ms(9_000), &zones(&[]), true);
+    assert!(changes.iter().all(|one| !one.evacuated) && changes.len() == 1);
     assert!(evacuations.owner_may_serve("east", ms(9_000)));
 }
 
 #[test]
-fn a_gateway_that_did_not_see_an_evacuation_begin_asks_nobody_there() {
+fn a_gateway_that_did_not_observe_the_start_of_an_evacuation_sends_no_requests_there() {
     let mut evacuations = Evacuations::new(ms(5_000));
     evacuations.update(ms(1_000), &zones(&["east"]), false);
     assert!(!evacuations.owner_may_serve("east", ms(1_000)));
