--- a/crates/gateway/src/answering.rs
+++ b/crates/gateway/src/answering.rs
@@ -1,4 +1,5 @@
-//! The end of a request: sent once more, given the server's answer, or given up.
+//! Completion of a request: it is retried, answered with the server's response, or refused or failed by the
+//! gateway.
 
 use std::time::Duration;
 
@@ -7,60 +8,65 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use crate::answers::{write_own, write_response, OwnAnswer};
 use crate::crash_memory::fingerprint;
-use crate::flight::{Flight, FlightId, Place};
-use crate::forwarding::LEAST_TIME;
+use crate::event_loop::{EventLoop, Timer};
+use crate::flight::{InFlightId, InFlightRequest, InFlightState};
+use crate::forwarding::MIN_TIME_LEFT;
+use crate::http_writer::{write_local_response, write_response, LocalResponse};
 use crate::refusal::Refusal;
-use crate::server::{Due, Server};
 use crate::verdict::{may_repeat, Verdict};
 
-/// Pause before the same owner is asked again whether it holds the key by now.
-const SAME_OWNER_PAUSE: Duration = Duration::from_millis(120);
+/// Delay before a retry at the same owner, which may have acquired the key's shard by then.
+const OWNER_RETRY_DELAY: Duration = Duration::from_millis(120);
 
-impl Server {
-    /// Sends a request again where that is safe and allowed, or answers it.
-    pub(crate) fn decide(
+impl EventLoop {
+    /// Retries a request where that is safe and allowed, and answers it otherwise.
+    pub(crate) fn retry_or_answer(
         &mut self,
-        id: FlightId,
+        id: InFlightId,
         verdict: Verdict,
         response: Option<Response>,
         server: &InstanceId,
     ) {
         let now = self.now();
-        let Some(flight) = self.flights.get(id) else {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
         let place_after = match verdict {
-            Verdict::NotRun => self.place_after(server),
+            Verdict::NotRun => self.capacity_after(server),
             _ => None,
         };
-        let pause = self.pause_before_repeat(verdict, flight, server, place_after);
-        // A second sending to the only server of a key would use a place that it states to have for another caller, or
-        // come while it asks for no requests.
-        let goes_there_again = flight
+        let delay = self.retry_delay(verdict, request, server, place_after);
+        // The only server of a key gets no retry while it states a rate, since the retry would use capacity
+        // meant for another caller, nor while it asks for no requests.
+        let returns_to_owner = request
             .shard
-            .is_some_and(|shard| self.owns(server, &flight.service, shard));
+            .is_some_and(|shard| self.is_owner(server, &request.service, shard));
         let cools_down = self.cooldowns.left(server, now).is_some();
-        let spares_owner =
-            goes_there_again && (cools_down || self.stated_rates.rate(server).is_some());
-        let wanted = may_repeat(verdict, flight.kind())
-            && !spares_owner
-            && !self.is_suspect(flight)
-            && flight.sendings < flight.route.maximum_attempts
-            && now + pause + LEAST_TIME < flight.expires
-            && (pause.is_zero() || self.is_answered_in_time(flight, server, now + pause));
-        // How many gateways share the budget is known from a leader only.
-        let shares_budget = self.directory.knows_gateways(now);
-        if wanted && shares_budget && self.budgets.take(&flight.service, now, flight.came_back) {
-            return self.send_again(id, verdict, server, pause);
+        let owner_is_limited =
+            returns_to_owner && (cools_down || self.stated_rates.rate(server).is_some());
+        let may_retry = may_repeat(verdict, request.kind())
+            && !owner_is_limited
+            && !self.is_crash_suspect(request)
+            && request.attempts < request.route.maximum_attempts
+            && now + delay + MIN_TIME_LEFT < request.expires
+            && (delay.is_zero() || self.meets_target(request, server, now + delay));
+        // The number of gateways that share the retry budget is known only from a leader.
+        let knows_budget_share = self.directory.knows_gateway_count(now);
+        if may_retry
+            && knows_budget_share
+            && self
+                .budgets
+                .take(&request.service, now, request.is_client_retry)
+        {
+            return self.retry(id, verdict, server, delay);
         }
         match (verdict, response) {
-            (Verdict::Failed, Some(response)) => self.pass_on(id, &response),
-            (Verdict::NotRun | Verdict::NotOwner, _) if wanted => {
+            (Verdict::Failed, Some(response)) => self.forward_response(id, &response),
+            (Verdict::NotRun | Verdict::NotOwner, _) if may_retry => {
                 self.refuse(id, Refusal::BudgetSpent { place_after });
             }
-            (Verdict::NotRun | Verdict::NotOwner, _) if goes_there_again && cools_down => {
+            (Verdict::NotRun | Verdict::NotOwner, _) if returns_to_owner && cools_down => {
                 let refusal = self.cooldown_refusal(server);
                 self.refuse(id, refusal);
             }
@@ -71,139 +77,143 @@
         }
     }
 
-    /// Whether a server crashed while it ran this request: a second one is not put at risk for one try.
-    fn is_suspect(&self, flight: &Flight) -> bool {
+    /// Whether a server crashed while it executed this request. Such a request is not retried, so that it
+    /// does not put a second server at risk.
+    fn is_crash_suspect(&self, request: &InFlightRequest) -> bool {
         !self.crashes.is_empty()
             && self
                 .crashes
-                .is_suspect(fingerprint(&flight.request, &self.names))
+                .is_suspect(fingerprint(&request.message, &self.names))
     }
 
-    /// Time for which a request waits before it is sent again: none but for a key's only owner, which is likely to have
-    /// a place after a time, see [`crate::backoff`], or to hold the key shortly.
-    fn pause_before_repeat(
+    /// Delay before a retry. It is zero unless the retry goes to the only owner of a key, which is likely to
+    /// have a free slot after a time (see [`crate::backoff`]) or to acquire the shard shortly.
+    fn retry_delay(
         &self,
         verdict: Verdict,
-        flight: &Flight,
+        request: &InFlightRequest,
         server: &InstanceId,
         place_after: Option<Duration>,
     ) -> Duration {
-        let Some(shard) = flight.shard else {
+        let Some(shard) = request.shard else {
             return Duration::ZERO;
         };
         match verdict {
             Verdict::NotRun => place_after.unwrap_or_default(),
-            Verdict::NotOwner if self.owns(server, &flight.service, shard) => SAME_OWNER_PAUSE,
+            Verdict::NotOwner if self.is_owner(server, &request.service, shard) => {
+                OWNER_RETRY_DELAY
+            }
             _ => Duration::ZERO,
         }
     }
 
-    /// Whether a request that goes to a server at a time is likely to be answered within its target: to keep it any
-    /// longer would take from its client the time for another try.
-    fn is_answered_in_time(&self, flight: &Flight, server: &InstanceId, at: Duration) -> bool {
+    /// Whether a request that is sent to a server at time `at` is likely to be answered within its route's
+    /// target latency. Holding it any longer would use the time that the client needs for another try.
+    fn meets_target(&self, request: &InFlightRequest, server: &InstanceId, at: Duration) -> bool {
         let instance = self.table.instance(server);
         let expected = instance.map_or(Duration::ZERO, |one| self.balance.expected_time(one));
-        at + expected <= flight.began + flight.route.target_latency
+        at + expected <= request.received_at + request.route.target_latency
     }
 
-    /// Time after which a server that turned a request away is likely to take one; `None` for one that is not known.
-    fn place_after(&self, server: &InstanceId) -> Option<Duration> {
+    /// Time after which a server that rejected a request is likely to accept one; `None` for an unknown
+    /// server.
+    fn capacity_after(&self, server: &InstanceId) -> Option<Duration> {
         let instance = self.table.instance(server)?;
         Some(self.balance.place_after(instance))
     }
 
-    /// Whether a server is believed to own a shard.
-    pub(crate) fn owns(&self, server: &InstanceId, service: &str, shard: usize) -> bool {
+    /// Whether the table names a server as the owner of a shard.
+    pub(crate) fn is_owner(&self, server: &InstanceId, service: &str, shard: usize) -> bool {
         let held = self.table.shard(service, shard);
         held.is_some_and(|shard| shard.owner.as_ref() == Some(server))
     }
 
-    fn send_again(&mut self, id: FlightId, verdict: Verdict, server: &InstanceId, pause: Duration) {
-        let Some(flight) = self.flights.get(id) else {
+    fn retry(&mut self, id: InFlightId, verdict: Verdict, server: &InstanceId, delay: Duration) {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
         self.metrics
-            .note_retry(&flight.service, &format!("{verdict:?}"));
+            .note_retry(&request.service, &format!("{verdict:?}"));
         event!(
             Event::RequestRetried,
-            id = flight.request_id,
+            id = request.request_id,
             instance = server,
             verdict = format!("{verdict:?}"),
-            sendings = flight.sendings
+            sendings = request.attempts
         );
-        match flight.shard {
-            Some(shard) if !pause.is_zero() => self.await_repeat(id, verdict, shard, pause),
+        match request.shard {
+            Some(shard) if !delay.is_zero() => self.delay_retry(id, verdict, shard, delay),
             _ => self.dispatch(id),
         }
     }
 
-    /// Waits before the owner of a key is asked once more: until it is likely to have a place for the request, or to
-    /// hold the key. If another becomes the owner meanwhile, that one is asked.
-    fn await_repeat(&mut self, id: FlightId, verdict: Verdict, shard: usize, pause: Duration) {
+    /// Delays a retry at the owner of a key until the owner is likely to have a free slot or to hold the
+    /// shard. If another server becomes the owner meanwhile, the retry goes to that one.
+    fn delay_retry(&mut self, id: InFlightId, verdict: Verdict, shard: usize, delay: Duration) {
         let now = self.now();
-        let Some(flight) = self.flights.get_mut(id) else {
+        let Some(request) = self.in_flight.get_mut(id) else {
             return;
         };
-        let held = self.table.shard(&flight.service, shard);
-        flight.place = match verdict {
-            Verdict::NotOwner => Place::AwaitingOwner {
+        let held = self.table.shard(&request.service, shard);
+        request.state = match verdict {
+            Verdict::NotOwner => InFlightState::AwaitingOwner {
                 fence: held.map_or(0, |shard| shard.fence),
             },
-            _ => Place::AwaitingRepeat,
+            _ => InFlightState::AwaitingRetry,
         };
-        let due = Due::RepeatWait(id, flight.sendings);
-        self.deadlines.add(now + pause, due);
+        let due = Timer::RetryWait(id, request.attempts);
+        self.timers.add(now + delay, due);
     }
 
-    /// The wait before a request is sent once more is over.
-    pub(crate) fn end_repeat_wait(&mut self, id: FlightId, sendings: u32) {
-        let Some(flight) = self.flights.get_mut(id) else {
+    /// Dispatches a request whose retry delay is over.
+    pub(crate) fn end_retry_wait(&mut self, id: InFlightId, attempts: u32) {
+        let Some(request) = self.in_flight.get_mut(id) else {
             return;
         };
         let waits = matches!(
-            flight.place,
-            Place::AwaitingRepeat | Place::AwaitingOwner { .. }
+            request.state,
+            InFlightState::AwaitingRetry | InFlightState::AwaitingOwner { .. }
         );
-        if waits && flight.sendings == sendings {
-            flight.place = Place::Here;
+        if waits && request.attempts == attempts {
+            request.state = InFlightState::Dispatching;
             self.dispatch(id);
         }
     }
 
-    /// The time of a request is up.
-    pub(crate) fn expire(&mut self, id: FlightId) {
+    /// Ends a request that reached its expiry without a response.
+    pub(crate) fn expire(&mut self, id: InFlightId) {
         let now = self.now();
-        let Some(flight) = self.flights.get(id) else {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        let (was_sent, reused) = match &flight.place {
-            Place::At { connection, .. } => {
+        let (was_sent, reused) = match &request.state {
+            InFlightState::Assigned { connection, .. } => {
                 let upstream = self.upstreams.get(*connection);
                 upstream.map_or((false, false), |one| (one.connected, one.reused))
             }
             _ => (false, false),
         };
-        let place = flight.place.clone();
-        if let (Place::At { server, since, .. }, true) = (place, was_sent) {
+        let state = request.state.clone();
+        if let (InFlightState::Assigned { server, since, .. }, true) = (state, was_sent) {
             self.balance.silent(&server, now, now.saturating_sub(since));
             if reused {
-                self.drop_resting(&server);
+                self.drop_idle(&server);
             }
         }
-        self.recall(id);
+        self.cancel_attempt(id);
         match was_sent {
-            // An earlier sending of a request that is not repeatable is proved not to have run.
+            // Any earlier attempt of a request that is not repeatable is proven not to have been executed.
             false => self.refuse(id, Refusal::NoTime),
             true => self.fail(id, 504, "time is up"),
         }
     }
 
-    /// Takes a request back from the connection it is on, which is closed.
-    pub(crate) fn recall(&mut self, id: FlightId) {
-        let place = self.flights.get(id).map(|flight| flight.place.clone());
-        let Some(Place::At {
+    /// Closes the connection that a request is on and ends the attempt.
+    pub(crate) fn cancel_attempt(&mut self, id: InFlightId) {
+        let state = self.in_flight.get(id).map(|request| request.state.clone());
+        let Some(InFlightState::Assigned {
             connection, server, ..
-        }) = place
+        }) = state
         else {
             return;
         };
@@ -211,128 +221,146 @@
             .upstreams
             .get(connection)
             .is_some_and(|upstream| upstream.connected);
-        if let (Some((_, since)), true) = (self.leave_server(id), was_sent) {
+        if let (Some((_, since)), true) = (self.end_attempt(id), was_sent) {
             let took = self.now().saturating_sub(since);
-            self.report_work(id, &server, took);
+            self.record_owner_time(id, &server, took);
         }
         self.drop_upstream(connection);
     }
 
-    /// Notes that a request is no longer at its server; which that was, and since when.
-    pub(crate) fn leave_server(&mut self, id: FlightId) -> Option<(InstanceId, Duration)> {
+    /// Ends the current attempt of a request; returns its server and the time at which the request was handed
+    /// to it.
+    pub(crate) fn end_attempt(&mut self, id: InFlightId) -> Option<(InstanceId, Duration)> {
         let now = self.now();
-        let flight = self.flights.get_mut(id)?;
-        let place = std::mem::replace(&mut flight.place, Place::Here);
-        let Place::At { server, since, .. } = place else {
+        let request = self.in_flight.get_mut(id)?;
+        let state = std::mem::replace(&mut request.state, InFlightState::Dispatching);
+        let InFlightState::Assigned { server, since, .. } = state else {
             return None;
         };
-        self.services_with_room.insert(flight.service.clone());
+        self.services_with_capacity.insert(request.service.clone());
         let took = now.saturating_sub(since);
-        self.metrics.note_server(&flight.service, took);
+        self.metrics.note_server(&request.service, took);
         self.balance.end(&server, now);
         Some((server, since))
     }
 
-    /// Reports that the owner of a key worked on its request for a time, to the end or until it was given up. What a server
-    /// did not run is not reported: it ends so fast that the server would seem to have room for all keys there are.
-    pub(crate) fn report_work(&mut self, id: FlightId, server: &InstanceId, took: Duration) {
-        let flight = self.flights.get(id);
-        if flight.is_some_and(|flight| flight.shard.is_some()) {
+    /// Adds the time that an owner spent on a request to the load report, whether the request finished or was
+    /// given up. Requests that the server did not execute are left out: they end so quickly that the server
+    /// would seem to have capacity for every key.
+    pub(crate) fn record_owner_time(
+        &mut self,
+        id: InFlightId,
+        server: &InstanceId,
+        took: Duration,
+    ) {
+        let request = self.in_flight.get(id);
+        if request.is_some_and(|request| request.shard.is_some()) {
             self.load.note_answer(server, took);
         }
     }
 
-    /// Gives a server's answer to the client.
-    pub(crate) fn pass_on(&mut self, id: FlightId, response: &Response) {
-        let Some(flight) = self.flights.remove(id) else {
+    /// Sends a server's response to the client.
+    pub(crate) fn forward_response(&mut self, id: InFlightId, response: &Response) {
+        let Some(request) = self.in_flight.remove(id) else {
             return;
         };
         event!(
             Event::RequestAnswered,
-            id = flight.request_id,
-            route = flight.route_name,
+            id = request.request_id,
+            route = request.route_name,
             status = response.status,
-            sendings = flight.sendings,
-            instance = flight
-                .tried
+            sendings = request.attempts,
+            instance = request
+                .tried_servers
                 .last()
                 .map_or_else(String::new, ToString::to_string),
-            ms = self.now().saturating_sub(flight.began).as_millis()
+            ms = self.now().saturating_sub(request.received_at).as_millis()
         );
-        let took = self.now().saturating_sub(flight.began);
+        let took = self.now().saturating_sub(request.received_at);
         self.metrics
-            .note_answer(&flight.service, response.status, "", took);
+            .note_answer(&request.service, response.status, "", took);
         let stopping = self.stopping.is_some();
-        let Some(client) = self.clients.get_mut(&flight.client) else {
+        let Some(client) = self.clients.get_mut(&request.client) else {
             return;
         };
         let closes = !client.keeps_alive || stopping;
         write_response(client.connection.outbound(), response, closes);
-        self.after_answer(flight.client, closes);
+        self.finish_response(request.client, closes);
     }
 
-    /// Gives up a request that has not run.
-    pub(crate) fn refuse(&mut self, id: FlightId, refusal: Refusal) {
-        let Some(flight) = self.flights.get(id) else {
+    /// Answers a request that was not executed.
+    pub(crate) fn refuse(&mut self, id: InFlightId, refusal: Refusal) {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        let left = flight.deadline.saturating_sub(self.now());
-        let answer = OwnAnswer::not_run(refusal.retry_after(Some(left)));
-        self.give_up(id, answer, Event::RequestRefused, refusal.reason());
+        let left = request.deadline.saturating_sub(self.now());
+        let response = LocalResponse::not_run(refusal.retry_after(Some(left)));
+        self.answer_locally(id, response, Event::RequestRefused, refusal.reason());
     }
 
-    /// Gives up a request that may have run.
-    pub(crate) fn fail(&mut self, id: FlightId, status: u16, reason: &str) {
-        self.give_up(id, OwnAnswer::status(status), Event::RequestFailed, reason);
+    /// Answers a request that may have been executed.
+    pub(crate) fn fail(&mut self, id: InFlightId, status: u16, reason: &str) {
+        self.answer_locally(
+            id,
+            LocalResponse::status(status),
+            Event::RequestFailed,
+            reason,
+        );
     }
 
-    fn give_up(&mut self, id: FlightId, answer: OwnAnswer, what: Event, reason: &str) {
-        let Some(flight) = self.flights.remove(id) else {
+    fn answer_locally(
+        &mut self,
+        id: InFlightId,
+        response: LocalResponse,
+        what: Event,
+        reason: &str,
+    ) {
+        let Some(request) = self.in_flight.remove(id) else {
             return;
         };
-        let took = self.now().saturating_sub(flight.began);
+        let took = self.now().saturating_sub(request.received_at);
         event!(
             what,
-            id = flight.request_id,
-            route = flight.route_name,
-            service = flight.service,
-            status = answer.status,
+            id = request.request_id,
+            route = request.route_name,
+            service = request.service,
+            status = response.status,
             reason = reason,
-            sendings = flight.sendings,
-            key = flight.key.map_or(-1, i64::from),
-            servers = flight.servers_tried(),
+            sendings = request.attempts,
+            key = request.key.map_or(-1, i64::from),
+            servers = request.tried_server_ids(),
             applied = self.table.applied(),
             ms = took.as_millis()
         );
         self.metrics
-            .note_answer(&flight.service, answer.status, reason, took);
-        self.answer_client(flight.client, answer, &flight.request_id);
+            .note_answer(&request.service, response.status, reason, took);
+        self.respond(request.client, response, &request.request_id);
     }
 
-    pub(crate) fn answer_client(&mut self, token: Token, answer: OwnAnswer, request_id: &str) {
+    pub(crate) fn respond(&mut self, token: Token, response: LocalResponse, request_id: &str) {
         let names = self.names;
         let stopping = self.stopping.is_some();
         let Some(client) = self.clients.get_mut(&token) else {
             return;
         };
-        let closes = answer.closes || !client.keeps_alive || stopping;
-        let answer = OwnAnswer { closes, ..answer };
-        write_own(client.connection.outbound(), answer, request_id, &names);
-        self.after_answer(token, closes);
+        let closes = response.closes || !client.keeps_alive || stopping;
+        let response = LocalResponse { closes, ..response };
+        write_local_response(client.connection.outbound(), response, request_id, &names);
+        self.finish_response(token, closes);
     }
 
-    pub(crate) fn after_answer(&mut self, token: Token, closes: bool) {
+    pub(crate) fn finish_response(&mut self, token: Token, closes: bool) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(&token) else {
             return;
         };
-        client.flight = None;
+        client.request = None;
         client.closing = closes;
-        client.rested_since = now;
+        client.idle_since = now;
         let open = client.flush();
         client.connection.trim();
         match open {
-            true => self.take_request(token),
+            true => self.handle_next_request(token),
             false => _ = self.clients.remove(&token),
         }
     }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients.
+//! Client connections.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,46 +7,44 @@
 use grebepin_reactor::{Connection, ReadOutcome};
 use mio::Token;
 
-use crate::flight::FlightId;
+use crate::flight::InFlightId;
 
-/// Bytes taken in before the request ahead is answered.
+/// Bytes that are buffered of pipelined requests while an earlier request is in flight.
 const BUFFER_LIMIT: usize = 256 << 10;
 
-/// A client's connection.
+/// A client connection.
 #[derive(Debug)]
 pub struct Client {
-    /// The connection.
     pub connection: Connection,
     reader: RequestReader,
-    /// Request being answered.
-    pub flight: Option<FlightId>,
-    /// Whether the client keeps the connection.
+    /// The client's request in flight; a connection has at most one.
+    pub request: Option<InFlightId>,
+    /// Whether the last request asked to keep the connection open.
     pub keeps_alive: bool,
-    /// Whether the connection ends once everything is sent.
+    /// Whether the connection is closed once all output is sent.
     pub closing: bool,
-    /// When the first byte of the request being read came.
-    pub request_began: Option<Duration>,
-    /// When the last answer was sent, or the connection came.
-    pub rested_since: Duration,
+    /// When the first byte of a partly read request arrived.
+    pub request_started: Option<Duration>,
+    /// When the last response was sent, or the connection was accepted.
+    pub idle_since: Duration,
 }
 
 impl Client {
-    /// A connection that just came.
     pub fn new(connection: Connection, now: Duration) -> Self {
         Self {
             connection,
             reader: RequestReader::default(),
-            flight: None,
+            request: None,
             keeps_alive: true,
             closing: false,
-            request_began: None,
-            rested_since: now,
+            request_started: None,
+            idle_since: now,
         }
     }
 
-    /// Takes in what arrived; whether the client is still there.
+    /// Reads available bytes; returns whether the connection is still open.
     pub fn fill(&mut self, limit: usize) -> bool {
-        let limit = match self.flight {
+        let limit = match self.request {
             Some(_) => BUFFER_LIMIT,
             None => limit.max(BUFFER_LIMIT),
         };
@@ -56,20 +54,20 @@
         )
     }
 
-    /// The next whole request, unless one is being answered.
+    /// The next complete request; `None` while one is in flight.
     ///
     /// # Errors
-    /// What was sent is no request that may be taken.
+    /// The received bytes are not a valid request, or exceed the limits.
     pub fn next_request(
         &mut self,
         now: Duration,
         limits: RequestLimits,
     ) -> Result<Option<(Request, Duration)>, BadRequest> {
-        if self.flight.is_some() || self.closing {
+        if self.request.is_some() || self.closing {
             return Ok(None);
         }
         if !self.connection.inbound.is_empty() {
-            self.request_began.get_or_insert(now);
+            self.request_started.get_or_insert(now);
         }
         let request = self.reader.take(&mut self.connection.inbound, limits)?;
         if self.reader.wants_continue() {
@@ -80,16 +78,16 @@
             return Ok(None);
         };
         self.keeps_alive = request.keeps_alive;
-        let began = self.request_began.take().unwrap_or(now);
-        Ok(Some((request, began)))
+        let received_at = self.request_started.take().unwrap_or(now);
+        Ok(Some((request, received_at)))
     }
 
-    /// Whether nothing of a request was read and none is being answered.
+    /// Whether no request is being read or is in flight, and all output is sent.
     pub fn is_idle(&self) -> bool {
-        self.flight.is_none() && self.request_began.is_none() && self.connection.unsent() == 0
+        self.request.is_none() && self.request_started.is_none() && self.connection.unsent() == 0
     }
 
-    /// Sends what waits; whether the connection is still of use.
+    /// Sends buffered output; returns whether the connection is still usable.
     pub fn flush(&mut self) -> bool {
         match self.connection.flush() {
             Ok(true) if self.closing => {
@@ -102,5 +100,5 @@
     }
 }
 
-/// All clients.
+/// All client connections.
 pub type Clients = HashMap<Token, Client>;
--- a/crates/gateway/src/crash_check.rs
+++ b/crates/gateway/src/crash_check.rs
@@ -1,22 +1,24 @@
-//! Whether a server that ended a connection under a request is still there, see [`crate::crash_memory`].
+//! Detects whether a server that closed a connection with a request on it has crashed, see
+//! [`crate::crash_memory`].
 
 use grebepin_catalog::InstanceId;
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
 use crate::crash_memory::fingerprint;
-use crate::flight::FlightId;
-use crate::server::Server;
+use crate::event_loop::EventLoop;
+use crate::flight::InFlightId;
 
-impl Server {
-    /// A server ended a connection before any byte of an answer: looks whether it is still there. Only one that refuses a
-    /// new connection counts as crashed by what it ran, since others drop connections when they are short of room.
-    pub(crate) fn look_for_crash(&mut self, id: FlightId, server: &InstanceId) {
+impl EventLoop {
+    /// Opens a probe connection to a server that closed a connection before the first byte of a response. The
+    /// request counts as the cause of a crash only if the server refuses the probe, since servers also drop
+    /// connections when they are short of capacity.
+    pub(crate) fn probe_for_crash(&mut self, id: InFlightId, server: &InstanceId) {
         let now = self.now();
-        let Some(flight) = self.flights.get(id) else {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        let fingerprint = fingerprint(&flight.request, &self.names);
+        let fingerprint = fingerprint(&request.message, &self.names);
         let Some(instance) = self.table.instance(server).cloned() else {
             return;
         };
@@ -24,17 +26,17 @@
             return;
         };
         if let Some(upstream) = self.upstreams.get_mut(token) {
-            upstream.shows_crash_by = Some(fingerprint);
+            upstream.crash_probe = Some(fingerprint);
         }
     }
 
-    /// A server refused a connection: if that was to show whether it is still there, it crashed.
-    pub(crate) fn note_refused_connection(&mut self, token: Token) {
+    /// Records a crash if the refused connection was a probe for one.
+    pub(crate) fn record_probed_crash(&mut self, token: Token) {
         let now = self.now();
         let Some(upstream) = self.upstreams.get(token) else {
             return;
         };
-        let Some(fingerprint) = upstream.shows_crash_by else {
+        let Some(fingerprint) = upstream.crash_probe else {
             return;
         };
         event!(
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: connections, deadlines, reloads and the end.
+//! The event loop: dispatches socket events and timers, applies updates from the directory, and ends the
+//! process.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -21,10 +22,10 @@
 use crate::cooldowns::Cooldowns;
 use crate::crash_memory::CrashMemory;
 use crate::evacuations::Evacuations;
-use crate::flight::{FlightId, Flights};
-use crate::follow::{Directory, Update};
+use crate::flight::{InFlightId, InFlightRequests};
+use crate::follow::{DirectoryClient, Update};
 use crate::headers::HeaderNames;
-use crate::housekeeping::{changed_at, SETTINGS_LOOK_EVERY};
+use crate::housekeeping::{modified_at, SETTINGS_CHECK_INTERVAL};
 use crate::leaving::LeavingServers;
 use crate::link_queue::LinkQueue;
 use crate::load::LoadCounts;
@@ -38,102 +39,104 @@
 use crate::warmup::WarmupTurns;
 use crate::GatewayError;
 
-const FRONT_LISTENER: Token = Token(0);
-const READY_LISTENER: Token = Token(1);
+const CLIENT_LISTENER: Token = Token(0);
+const READINESS_LISTENER: Token = Token(1);
 const METRICS_LISTENER: Token = Token(2);
 const RELAY_LISTENER: Token = Token(3);
 const FIRST_CONNECTION: usize = 4;
 
-/// Events taken from the system at once.
-const EVENT_BATCH: usize = 256;
+/// Capacity of the event buffer that each poll fills.
+const EVENT_CAPACITY: usize = 256;
 
-/// Longest sleep, so that signals are noticed.
-const LONGEST_SLEEP: Duration = Duration::from_millis(100);
+/// Longest time to block in poll, so that signals are noticed.
+const MAX_POLL_TIME: Duration = Duration::from_millis(100);
 
-/// Descriptors kept free for files and listeners.
+/// File descriptors reserved for files and listeners, which client and server connections never use.
 const RESERVED_DESCRIPTORS: usize = 250;
 
-/// Largest body held in memory, whatever the configuration allows.
+/// Largest request body that is buffered; the configuration can only lower this limit.
 const MAXIMUM_BODY_BYTES: u64 = 32 << 20;
 
-/// Smallest bound on heads, for clients that come before the configuration.
+/// Limit on request heads until the first configuration arrives.
 const DEFAULT_HEAD_BYTES: usize = 16 << 10;
 
-/// What falls due.
+/// Timers of the event loop. The `u32` is the request's number of attempts when the timer was set, so that a
+/// timer of an earlier wait is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// A request is given up.
-    Expiry(FlightId),
-    /// A request has waited long enough for its key's owner.
-    OwnerWait(FlightId, u32),
-    /// A request is sent to the owner of its key once more.
-    RepeatWait(FlightId, u32),
-    /// A request has waited long enough for room at a server.
-    RoomWait(FlightId, u32),
-    /// A request has waited long enough for the leader's permit.
-    PermitWait(FlightId, u32),
-    /// A connection to a server is not up yet.
-    Connect(usize),
+pub enum Timer {
+    /// The request is given up.
+    RequestExpiry(InFlightId),
+    /// The longest wait for an owner of the key's shard is over.
+    OwnerWait(InFlightId, u32),
+    /// The delay before a retry at the key's owner is over.
+    RetryWait(InFlightId, u32),
+    /// The wait for server capacity is over, or a pause that closed the server ends.
+    CapacityWait(InFlightId, u32),
+    /// The longest wait for the leader's permit is over.
+    PermitWait(InFlightId, u32),
+    /// The connection to a server with this token must be established by now.
+    ConnectTimeout(usize),
 }
 
-/// The process.
-pub struct Server {
+/// The gateway's event loop, with all state of the process.
+pub struct EventLoop {
     pub(crate) settings_path: PathBuf,
-    pub(crate) settings_changed: Option<SystemTime>,
+    pub(crate) settings_modified: Option<SystemTime>,
     pub(crate) settings: GatewaySettings,
     pub(crate) names: HeaderNames,
     pub(crate) poll: Poll,
-    front: TcpListener,
-    pub(crate) ready: TextServer,
+    client_listener: TcpListener,
+    pub(crate) readiness_server: TextServer,
     pub(crate) metrics_server: Option<TextServer>,
     pub(crate) relay: Option<Relay>,
-    registered: Metrics,
+    metrics_registry: Metrics,
     pub(crate) metrics: GatewayMetrics,
     clock: Clock,
-    standstill: StandstillWatch,
+    stall_watch: StandstillWatch,
     pub(crate) next_token: usize,
     pub(crate) clients: Clients,
     pub(crate) upstreams: Upstreams,
-    pub(crate) flights: Flights,
-    /// Services of which some server has room again.
-    pub(crate) services_with_room: BTreeSet<String>,
-    pub(crate) deadlines: Deadlines<Due>,
+    pub(crate) in_flight: InFlightRequests,
+    /// Services with a server that may accept more requests since their waiting requests were last
+    /// dispatched.
+    pub(crate) services_with_capacity: BTreeSet<String>,
+    pub(crate) timers: Deadlines<Timer>,
     pub(crate) table: Table,
     pub(crate) splitter: Splitter,
     pub(crate) balance: Balance,
     pub(crate) budgets: Budgets,
-    pub(crate) zone_exits: Evacuations,
+    pub(crate) evacuations: Evacuations,
     pub(crate) warmup: WarmupTurns,
     pub(crate) stated_rates: StatedRates,
     pub(crate) cooldowns: Cooldowns,
     pub(crate) leaving: LeavingServers,
-    /// Fields of answers that could not be used, each logged once.
+    /// Response header fields that held an unusable value; each is logged once.
     pub(crate) unusable_fields: BTreeSet<&'static str>,
     pub(crate) load: LoadCounts,
     pub(crate) crashes: CrashMemory,
-    /// Bytes that wait for this machine's link.
+    /// Estimate of the bytes queued on this machine's network link.
     pub(crate) link_queue: LinkQueue,
     pub(crate) patience: LongestPatience,
     pub(crate) random: SmallRng,
-    pub(crate) directory: Directory,
+    pub(crate) directory: DirectoryClient,
     pub(crate) stopping: Option<Stopping>,
-    announced_ready: bool,
+    logged_ready: bool,
     pub(crate) next_housekeeping: Duration,
-    pub(crate) next_settings_look: Duration,
-    pub(crate) stop: Arc<AtomicBool>,
-    pub(crate) reload: Arc<AtomicBool>,
+    pub(crate) next_settings_check: Duration,
+    pub(crate) stop_requested: Arc<AtomicBool>,
+    pub(crate) reload_requested: Arc<AtomicBool>,
 }
 
-impl Server {
-    /// Opens the sockets.
+impl EventLoop {
+    /// Loads the settings, opens the listeners and installs the signal handlers.
     pub fn start(path: &Path, names: HeaderNames) -> Result<Self, GatewayError> {
         let settings = GatewaySettings::load(path)?;
         let poll = Poll::new()?;
-        let mut front = TcpListener::bind(settings.bind_address(settings.front_address))?;
+        let mut client_listener = TcpListener::bind(settings.bind_address(settings.front_address))?;
         let registry = poll.registry();
-        registry.register(&mut front, FRONT_LISTENER, Interest::READABLE)?;
+        registry.register(&mut client_listener, CLIENT_LISTENER, Interest::READABLE)?;
         let ready_address = settings.bind_address(settings.ready_address);
-        let ready = TextServer::listen(ready_address, registry, READY_LISTENER)?;
+        let readiness_server = TextServer::listen(ready_address, registry, READINESS_LISTENER)?;
         let metrics_ip = settings.bind_address(settings.front_address).ip();
         let metrics_port = settings.metrics_port;
         let metrics_server =
@@ -145,12 +148,12 @@
                 Some(Relay::listen(address, registry, RELAY_LISTENER)?)
             }
         };
-        let registered = Metrics::new();
-        let metrics = GatewayMetrics::register(&registered)?;
-        let stop = Arc::new(AtomicBool::new(false));
-        let reload = Arc::new(AtomicBool::new(false));
-        signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
-        signal_hook::flag::register(SIGHUP, Arc::clone(&reload))?;
+        let metrics_registry = Metrics::new();
+        let metrics = GatewayMetrics::register(&metrics_registry)?;
+        let stop_requested = Arc::new(AtomicBool::new(false));
+        let reload_requested = Arc::new(AtomicBool::new(false));
+        signal_hook::flag::register(SIGTERM, Arc::clone(&stop_requested))?;
+        signal_hook::flag::register(SIGHUP, Arc::clone(&reload_requested))?;
         event!(
             Event::GatewayStarted,
             node = settings.node,
@@ -162,7 +165,7 @@
             window: Duration::from_secs_f64(settings.bounds.budget_window_s),
             slack: settings.bounds.budget_slack,
         };
-        let zone_exits = Evacuations::new(settings.evacuation_bound());
+        let evacuations = Evacuations::new(settings.evacuation_bound());
         let warmup = WarmupTurns::new(&settings.node);
         let stated_rates = StatedRates::new(&settings.node);
         let leaving = LeavingServers::new(settings.drain());
@@ -171,30 +174,30 @@
         let table = Table::new(&settings.node, &settings.zone);
         Ok(Self {
             settings_path: path.to_owned(),
-            settings_changed: changed_at(path),
-            directory: Directory::new(&settings),
+            settings_modified: modified_at(path),
+            directory: DirectoryClient::new(&settings),
             settings,
             names,
             poll,
-            front,
-            ready,
+            client_listener,
+            readiness_server,
             metrics_server,
             relay,
-            registered,
+            metrics_registry,
             metrics,
             clock: Clock::start(),
-            standstill: StandstillWatch::default(),
+            stall_watch: StandstillWatch::default(),
             next_token: FIRST_CONNECTION,
             clients: Clients::new(),
             upstreams: Upstreams::default(),
-            flights: Flights::default(),
-            services_with_room: BTreeSet::new(),
-            deadlines: Deadlines::default(),
+            in_flight: InFlightRequests::default(),
+            services_with_capacity: BTreeSet::new(),
+            timers: Deadlines::default(),
             table,
             splitter: Splitter::default(),
             balance: Balance::default(),
             budgets,
-            zone_exits,
+            evacuations,
             warmup,
             stated_rates,
             cooldowns: Cooldowns::default(),
@@ -206,83 +209,83 @@
             patience: LongestPatience::default(),
             random: SmallRng::from_os_rng(),
             stopping: None,
-            announced_ready: false,
+            logged_ready: false,
             next_housekeeping: Duration::ZERO,
-            next_settings_look: SETTINGS_LOOK_EVERY,
-            stop,
-            reload,
+            next_settings_check: SETTINGS_CHECK_INTERVAL,
+            stop_requested,
+            reload_requested,
         })
     }
 
-    /// Serves until the end.
+    /// Serves requests until the shutdown is complete.
     pub fn run(mut self) -> Result<(), GatewayError> {
-        let mut events = Events::with_capacity(EVENT_BATCH);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
-            let sleep = self.sleep();
-            match self.poll.poll(&mut events, Some(sleep)) {
+            let timeout = self.poll_timeout();
+            match self.poll.poll(&mut events, Some(timeout)) {
                 Ok(()) => {}
                 Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
-            if let Some(stood) = self.standstill.look(self.clock.now()) {
-                event!(Event::StoodStill, ms = stood.as_millis());
+            if let Some(stall) = self.stall_watch.look(self.clock.now()) {
+                event!(Event::StoodStill, ms = stall.as_millis());
             }
-            for ready in &events {
-                self.on_event(ready.token());
+            for event in &events {
+                self.on_event(event.token());
             }
-            self.on_deadlines();
-            self.retry_awaiting_room();
+            self.run_timers();
+            self.dispatch_awaiting_capacity();
             self.do_housekeeping();
-            if self.is_over() {
-                event!(Event::Stopped, flights = self.flights.len());
+            if self.is_shut_down() {
+                event!(Event::Stopped, flights = self.in_flight.len());
                 return Ok(());
             }
         }
     }
 
-    fn is_over(&self) -> bool {
-        let (flights, clients) = (self.flights.len(), self.clients.len());
+    fn is_shut_down(&self) -> bool {
+        let (in_flight, clients) = (self.in_flight.len(), self.clients.len());
         let now = self.now();
         self.stopping
-            .is_some_and(|stopping| stopping.is_over(now, flights, clients))
+            .is_some_and(|stopping| stopping.is_over(now, in_flight, clients))
     }
 
     pub(crate) fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    fn sleep(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         let now = self.now();
-        let due = self.deadlines.next().unwrap_or(now + LONGEST_SLEEP);
+        let due = self.timers.next().unwrap_or(now + MAX_POLL_TIME);
         due.min(self.next_housekeeping)
             .saturating_sub(now)
-            .min(LONGEST_SLEEP)
+            .min(MAX_POLL_TIME)
     }
 
     fn on_event(&mut self, token: Token) {
         match token {
-            FRONT_LISTENER => self.accept_clients(),
+            CLIENT_LISTENER => self.accept_clients(),
             token if self.clients.contains_key(&token) => self.on_client(token),
             token if self.upstreams.owns(token) => self.on_upstream(token),
             token if self.directory.owns(token) => self.on_directory(token),
             token if self.relay.as_ref().is_some_and(|relay| relay.owns(token)) => {
-                self.on_relay(token);
+                self.on_follower(token);
             }
-            RELAY_LISTENER => self.accept_relayed(),
-            token if self.ready.owns(token) => self.on_probe(token),
+            RELAY_LISTENER => self.accept_followers(),
+            token if self.readiness_server.owns(token) => self.on_readiness_request(token),
             token
                 if self
                     .metrics_server
                     .as_ref()
                     .is_some_and(|one| one.owns(token)) =>
             {
-                self.on_metrics(token);
+                self.on_metrics_request(token);
             }
             _ => {}
         }
     }
 
-    pub(crate) fn fresh_token(&mut self) -> Token {
+    pub(crate) fn allocate_token(&mut self) -> Token {
         let token = Token(self.next_token);
         self.next_token += 1;
         token
@@ -293,24 +296,24 @@
             .settings
             .maximum_descriptors
             .saturating_sub(RESERVED_DESCRIPTORS);
-        while let Ok((stream, _)) = self.front.accept() {
+        while let Ok((stream, _)) = self.client_listener.accept() {
             if self.clients.len() + self.upstreams.len() >= limit {
                 continue;
             }
             let now = self.now();
-            let token = self.fresh_token();
+            let token = self.allocate_token();
             if let Ok(connection) = Connection::register(stream, self.poll.registry(), token) {
                 self.clients.insert(token, Client::new(connection, now));
             }
         }
     }
 
-    /// Whether new clients are wanted.
+    /// Whether the gateway accepts new clients: it has a configuration and is not shutting down.
     fn is_ready(&self) -> bool {
         self.stopping.is_none() && self.table.is_configured()
     }
 
-    fn on_probe(&mut self, token: Token) {
+    fn on_readiness_request(&mut self, token: Token) {
         let now = self.now();
         let status = match self.is_ready() {
             true => 200,
@@ -318,38 +321,38 @@
         };
         let registry = self.poll.registry();
         let next = &mut self.next_token;
-        let answer = || TextAnswer {
+        let response = || TextAnswer {
             status,
             body: String::new(),
         };
-        self.ready.on_event(now, token, registry, next, answer);
+        self.readiness_server
+            .on_event(now, token, registry, next, response);
     }
 
-    fn on_metrics(&mut self, token: Token) {
+    fn on_metrics_request(&mut self, token: Token) {
         let now = self.now();
-        self.measure(now);
-        let registered = &self.registered;
-        let answer = || TextAnswer {
+        self.update_gauges(now);
+        let metrics_registry = &self.metrics_registry;
+        let response = || TextAnswer {
             status: 200,
-            body: registered.render().unwrap_or_default(),
+            body: metrics_registry.render().unwrap_or_default(),
         };
         if let Some(metrics) = &mut self.metrics_server {
             let registry = self.poll.registry();
-            metrics.on_event(now, token, registry, &mut self.next_token, answer);
+            metrics.on_event(now, token, registry, &mut self.next_token, response);
         }
     }
 
-    /// Brings the gauges up to date.
-    fn measure(&self, now: Duration) {
+    fn update_gauges(&self, now: Duration) {
         let metrics = &self.metrics;
-        metrics.flights.set(self.flights.len() as i64);
+        metrics.flights.set(self.in_flight.len() as i64);
         metrics.client_connections.set(self.clients.len() as i64);
         metrics.server_connections.set(self.upstreams.len() as i64);
         metrics.applied_index.set(self.table.applied() as i64);
         let age = self
             .directory
-            .leader_heard
-            .map(|heard| now.saturating_sub(heard));
+            .last_leader_message
+            .map(|at| now.saturating_sub(at));
         let age = age.map_or(-1, |age| age.as_millis() as i64);
         metrics.leader_age_ms.set(age);
         let links = self.directory.link_count();
@@ -376,15 +379,15 @@
         }
     }
 
-    fn accept_relayed(&mut self) {
+    fn accept_followers(&mut self) {
         let now = self.now();
         if let Some(relay) = &mut self.relay {
             relay.accept(now, self.poll.registry(), &mut self.next_token);
         }
     }
 
-    /// Something came from a gateway that follows this one.
-    fn on_relay(&mut self, token: Token) {
+    /// Handles an event on the connection of a gateway that follows this one.
+    fn on_follower(&mut self, token: Token) {
         let now = self.now();
         let is_fed = self.directory.is_fed(now);
         if let Some(relay) = &mut self.relay {
@@ -399,12 +402,12 @@
         let mut permits = Vec::new();
         let mut follows_log = true;
         for update in updates {
-            follows_log &= !matches!(update, Update::Whole(..));
+            follows_log &= !matches!(update, Update::Snapshot(..));
             let one = match update {
-                Update::Whole(index, catalog) => self.table.replace(index, *catalog),
-                Update::Entries(entries) => self.take_entries(&entries),
+                Update::Snapshot(index, catalog) => self.table.replace(index, *catalog),
+                Update::Entries(entries) => self.apply_entries(&entries),
                 Update::Permit { id, permit } => {
-                    permits.push((FlightId(id), permit));
+                    permits.push((InFlightId(id), permit));
                     TableChange::default()
                 }
                 Update::Gateways(count) => {
@@ -421,53 +424,55 @@
             self.leaving.note(id, now);
         }
         if change.servers {
-            self.note_zones(now, follows_log);
+            self.update_evacuations(now, follows_log);
             self.warmup.update(now, self.table.cold_servers());
         }
         if change.owners {
-            self.retry_awaiting_owner();
+            self.dispatch_awaiting_owner();
         }
-        for (flight, permit) in permits {
-            self.on_permit(flight, permit);
+        for (request, permit) in permits {
+            self.on_permit(request, permit);
         }
-        self.tell_readiness();
+        self.log_readiness();
     }
 
-    /// Takes over which zones are evacuated.
-    fn note_zones(&mut self, now: Duration, follows_log: bool) {
+    /// Applies the set of evacuated zones. `follows_log` is false when a snapshot was applied, which does not
+    /// show when an evacuation began.
+    fn update_evacuations(&mut self, now: Duration, follows_log: bool) {
         let zones = self.table.evacuated_zones();
-        for news in self.zone_exits.update(now, zones, follows_log) {
+        for change in self.evacuations.update(now, zones, follows_log) {
             event!(
                 Event::EvacuationInForce,
-                zone = news.zone,
-                evacuated = news.evacuated,
+                zone = change.zone,
+                evacuated = change.evacuated,
                 applied = self.table.applied()
             );
         }
     }
 
-    /// How many gateways share the servers; `None` until a leader told.
-    pub(crate) fn known_gateways(&self) -> Option<u32> {
-        let is_known = self.directory.knows_gateways(self.now());
+    /// Number of gateways that share the servers; `None` until a leader has reported it and the count has
+    /// settled.
+    pub(crate) fn gateway_count(&self) -> Option<u32> {
+        let is_known = self.directory.knows_gateway_count(self.now());
         is_known.then(|| self.budgets.gateways())
     }
 
-    fn take_entries(&mut self, entries: &[(u64, grebepin_catalog::Entry)]) -> TableChange {
+    fn apply_entries(&mut self, entries: &[(u64, grebepin_catalog::Entry)]) -> TableChange {
         let change = self.table.apply(entries);
         if let Some(relay) = &mut self.relay {
             relay.feed(entries, &self.table);
         }
         let newest = entries.last().map_or(0, |(index, _)| *index);
         if newest > self.table.applied() {
-            self.directory.follow_again(self.table.applied());
+            self.directory.resync(self.table.applied());
         }
         change
     }
 
-    pub(crate) fn tell_readiness(&mut self) {
+    pub(crate) fn log_readiness(&mut self) {
         let ready = self.is_ready();
-        if ready != self.announced_ready {
-            self.announced_ready = ready;
+        if ready != self.logged_ready {
+            self.logged_ready = ready;
             event!(
                 Event::GatewayReady,
                 ready = ready,
@@ -476,16 +481,16 @@
         }
     }
 
-    fn on_deadlines(&mut self) {
+    fn run_timers(&mut self) {
         let now = self.now();
-        while let Some(due) = self.deadlines.pop_due(now) {
+        while let Some(due) = self.timers.pop_due(now) {
             match due {
-                Due::Expiry(flight) => self.expire(flight),
-                Due::OwnerWait(flight, sendings) => self.end_owner_wait(flight, sendings),
-                Due::RepeatWait(flight, sendings) => self.end_repeat_wait(flight, sendings),
-                Due::RoomWait(flight, sendings) => self.end_room_wait(flight, sendings),
-                Due::PermitWait(flight, sendings) => self.end_permit_wait(flight, sendings),
-                Due::Connect(token) => self.give_up_connecting(Token(token)),
+                Timer::RequestExpiry(request) => self.expire(request),
+                Timer::OwnerWait(request, attempts) => self.end_owner_wait(request, attempts),
+                Timer::RetryWait(request, attempts) => self.end_retry_wait(request, attempts),
+                Timer::CapacityWait(request, attempts) => self.end_capacity_wait(request, attempts),
+                Timer::PermitWait(request, attempts) => self.end_permit_wait(request, attempts),
+                Timer::ConnectTimeout(token) => self.on_connect_timeout(Token(token)),
             }
         }
     }
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -1,4 +1,4 @@
-//! Requests under way.
+//! Requests in flight: accepted from a client and not yet answered.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,153 +8,145 @@
 use grebepin_reactor::http::Request;
 use mio::Token;
 
-/// Names a request under way.
+/// Identifies a request in flight within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FlightId(pub u64);
+pub struct InFlightId(pub u64);
 
-/// Where a request is.
+/// State of a request in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// About to be sent.
-    Here,
-    /// Waits for its key's shard to get an owner, or another than the one under this fence.
+pub enum InFlightState {
+    /// About to be dispatched.
+    Dispatching,
+    /// Waits until the key's shard has an owner with a higher fence.
     AwaitingOwner {
-        /// Fence that is known to be of no use; 0 for none.
+        /// Fence under which the shard has no usable owner; 0 if there was none.
         fence: u64,
     },
-    /// Waits a moment before its key's owner, which turned it away, is asked once more.
-    AwaitingRepeat,
-    /// Waits for the leader's permit to go to its key's owner, which states a rate.
+    /// Waits for the delay before a retry at the key's owner, which rejected the request.
+    AwaitingRetry,
+    /// Waits for the leader's permit to go to the key's owner, which states a rate.
     AwaitingPermit {
         /// The owner.
         server: InstanceId,
     },
-    /// Waits for room at its key's owner, or at any server of its service.
-    AwaitingRoom,
-    /// On a connection to a server.
-    At {
-        /// The connection.
+    /// Waits for capacity at the key's owner, or at any server of the service.
+    AwaitingCapacity,
+    /// Assigned to a connection to a server.
+    Assigned {
         connection: Token,
-        /// The server.
         server: InstanceId,
-        /// When it was handed to the connection.
+        /// When the request was assigned to the connection.
         since: Duration,
     },
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlightRequest {
     /// Connection of the client.
     pub client: Token,
-    /// The request.
-    pub request: Request,
-    /// Id that the client gave the attempt; empty without one.
+    /// The request as it was received.
+    pub message: Request,
+    /// Id that the client gave this attempt; empty if it sent none.
     pub request_id: String,
-    /// Its route's name.
     pub route_name: String,
-    /// Its route.
     pub route: Arc<Route>,
-    /// Service that runs it.
+    /// Service that executes the request.
     pub service: String,
-    /// Its key, where it carries one.
+    /// Key of the request; `None` if it carries none.
     pub key: Option<u16>,
-    /// Shard of its key, for a sharded service.
+    /// Shard of the key; `None` for a pooled service.
     pub shard: Option<usize>,
-    /// Whether its client was most likely refused before.
-    pub came_back: bool,
-    /// When its first byte came.
-    pub began: Duration,
-    /// When its client gives up.
+    /// Whether the client most likely retries a request that was refused before.
+    pub is_client_retry: bool,
+    /// When the first byte arrived.
+    pub received_at: Duration,
+    /// When the client stops waiting.
     pub deadline: Duration,
-    /// When it is given up here.
+    /// When the gateway gives the request up.
     pub expires: Duration,
-    /// How often it was sent to a server.
-    pub sendings: u32,
-    /// How often a connection could not be made for it.
-    pub unreached: u32,
-    /// Servers that it was sent to.
-    pub tried: Vec<InstanceId>,
-    /// The server that it may go to by the leader's permit.
-    pub permitted: Option<InstanceId>,
-    /// Where it is.
-    pub place: Place,
+    /// Number of attempts at a server, without those whose connection was not established.
+    pub attempts: u32,
+    /// Number of connections that could not be established for this request.
+    pub connect_failures: u32,
+    /// Servers that it was assigned to, in order, including those that could not be reached.
+    pub tried_servers: Vec<InstanceId>,
+    /// The server that the request may be sent to under the leader's permit or this gateway's turn.
+    pub permitted_server: Option<InstanceId>,
+    pub state: InFlightState,
 }
 
-impl Flight {
-    /// Whether it may run more than once.
+impl InFlightRequest {
+    /// Whether the request may be executed more than once.
     pub fn kind(&self) -> RequestKind {
         self.route.kind
     }
 
-    /// Ids of the servers that it was sent to, for logs.
-    pub fn servers_tried(&self) -> String {
-        let ids: Vec<String> = self.tried.iter().map(ToString::to_string).collect();
+    /// Ids of [`Self::tried_servers`], for logs.
+    pub fn tried_server_ids(&self) -> String {
+        let ids: Vec<String> = self.tried_servers.iter().map(ToString::to_string).collect();
         ids.join(",")
     }
 }
 
-/// All requests under way.
+/// All requests in flight.
 #[derive(Debug, Default)]
-pub struct Flights {
+pub struct InFlightRequests {
     next: u64,
-    flights: HashMap<FlightId, Flight>,
+    requests: HashMap<InFlightId, InFlightRequest>,
 }
 
-impl Flights {
-    /// Takes in a request.
-    pub fn add(&mut self, flight: Flight) -> FlightId {
+impl InFlightRequests {
+    pub fn add(&mut self, request: InFlightRequest) -> InFlightId {
         self.next += 1;
-        let id = FlightId(self.next);
-        self.flights.insert(id, flight);
+        let id = InFlightId(self.next);
+        self.requests.insert(id, request);
         id
     }
 
-    /// A request.
-    pub fn get(&self, id: FlightId) -> Option<&Flight> {
-        self.flights.get(&id)
+    pub fn get(&self, id: InFlightId) -> Option<&InFlightRequest> {
+        self.requests.get(&id)
     }
 
-    /// A request, to be changed.
-    pub fn get_mut(&mut self, id: FlightId) -> Option<&mut Flight> {
-        self.flights.get_mut(&id)
+    pub fn get_mut(&mut self, id: InFlightId) -> Option<&mut InFlightRequest> {
+        self.requests.get_mut(&id)
     }
 
-    /// Ends a request.
-    pub fn remove(&mut self, id: FlightId) -> Option<Flight> {
-        self.flights.remove(&id)
+    pub fn remove(&mut self, id: InFlightId) -> Option<InFlightRequest> {
+        self.requests.remove(&id)
     }
 
-    /// How many there are.
     pub fn len(&self) -> usize {
-        self.flights.len()
+        self.requests.len()
     }
 
-    /// Those of a service that wait for room, the most urgent and then the oldest first.
-    pub fn awaiting_room(&self, service: &str) -> Vec<FlightId> {
-        let waiting = self.flights.iter();
-        let mut waiting: Vec<(u32, Duration, FlightId)> = waiting
-            .filter(|(_, flight)| flight.place == Place::AwaitingRoom && flight.service == service)
-            .map(|(id, flight)| (flight.route.priority, flight.began, *id))
+    /// Requests of a service that wait for capacity, ordered by priority and then by age.
+    pub fn awaiting_capacity(&self, service: &str) -> Vec<InFlightId> {
+        let waiting = self.requests.iter();
+        let mut waiting: Vec<(u32, Duration, InFlightId)> = waiting
+            .filter(|(_, one)| {
+                one.state == InFlightState::AwaitingCapacity && one.service == service
+            })
+            .map(|(id, request)| (request.route.priority, request.received_at, *id))
             .collect();
         waiting.sort();
         waiting.into_iter().map(|(_, _, id)| id).collect()
     }
 
-    /// Those of a service that wait before their key's owner is asked once more, and their shards.
-    pub fn awaiting_repeat(&self, service: &str) -> Vec<(FlightId, usize)> {
-        let waiting = self.flights.iter();
+    /// Requests of a service that wait before a retry at their key's owner, with their shards.
+    pub fn awaiting_retry(&self, service: &str) -> Vec<(InFlightId, usize)> {
+        let waiting = self.requests.iter();
         waiting
-            .filter(|(_, one)| one.place == Place::AwaitingRepeat && one.service == service)
+            .filter(|(_, one)| one.state == InFlightState::AwaitingRetry && one.service == service)
             .filter_map(|(id, one)| Some((*id, one.shard?)))
             .collect()
     }
 
-    /// Those that wait for an owner.
-    pub fn awaiting_owner(&self) -> Vec<FlightId> {
-        let waiting = self.flights.iter();
+    /// Requests that wait for an owner.
+    pub fn awaiting_owner(&self) -> Vec<InFlightId> {
+        let waiting = self.requests.iter();
         waiting
-            .filter(|(_, flight)| matches!(flight.place, Place::AwaitingOwner { .. }))
+            .filter(|(_, request)| matches!(request.state, InFlightState::AwaitingOwner { .. }))
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/gateway/src/follow/feed.rs
+++ b/crates/gateway/src/follow/feed.rs
@@ -1,4 +1,5 @@
-//! Which of the links is followed, which are missing or too many, and whose state is asked for first.
+//! Chooses which link is followed, which links are opened or closed, and which replica provides the initial
+//! state.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,38 +8,40 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use super::link::LinkEnd;
-use super::Directory;
+use super::link::LinkPeer;
+use super::DirectoryClient;
 use crate::first_state::newest_of_majority;
 
-/// Time without a word after which another fed replica is followed; replicas speak each 500 ms.
-const FEED_SILENCE_LIMIT: Duration = Duration::from_millis(900);
+/// Time without a message after which another replica that receives the leader's log is followed. Replicas
+/// send a message every 500 ms.
+const FEED_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for which a replica that is not fed is left alone.
-const UNFED_PAUSE: Duration = Duration::from_millis(1_000);
+/// Time for which a replica that does not receive the leader's log is avoided.
+const UNFED_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Links at a time, to replicas that are wanted and others that are on their way out.
-const LINK_LIMIT: usize = 8;
+/// Links at a time, counting links to preferred replicas and those about to be closed.
+const MAX_LINKS: usize = 8;
 
-/// The same for a gateway that asks voters for a first state.
-const FIRST_LINK_LIMIT: usize = 20;
+/// The same for a gateway that asks the voters for its initial state.
+const MAX_INITIAL_LINKS: usize = 20;
 
-impl Directory {
-    /// Whether a link leads to a replica that is fed and has spoken lately.
+impl DirectoryClient {
+    /// Whether a link leads to a replica that receives the leader's log and has sent a message lately.
     pub(super) fn is_fed_link(&self, now: Duration, token: Token) -> bool {
         self.links.get(&token).is_some_and(|link| {
             let is_fed = link.head.as_ref().is_some_and(|head| head.is_fed);
-            let speaks = now <= link.heard + FEED_SILENCE_LIMIT;
-            link.end == LinkEnd::Replica && link.connected && is_fed && speaks
+            let speaks = now <= link.last_received + FEED_TIMEOUT;
+            link.peer == LinkPeer::Replica && link.connected && is_fed && speaks
         })
     }
 
-    /// The followed link as long as its replica is fed.
+    /// The followed link, if its replica still receives the leader's log.
     pub(super) fn fed_link(&self, now: Duration) -> Option<Token> {
         self.followed.filter(|token| self.is_fed_link(now, *token))
     }
 
-    /// Follows the best fed replica; the present one as long as it is fed and wanted.
+    /// Follows the highest-ranked replica that receives the leader's log. The current one is kept as long as
+    /// it does and is among the preferred replicas.
     pub(super) fn choose_feed(&mut self, now: Duration, applied: u64) {
         let best = self.links.keys().copied();
         let best = best.filter(|token| self.is_fed_link(now, *token));
@@ -49,7 +52,7 @@
         if self.followed == Some(best) {
             return;
         }
-        if applied == 0 && !self.may_ask_for_state(now, best) {
+        if applied == 0 && !self.may_request_state(now, best) {
             return;
         }
         if let Some(present) = self.fed_link(now) {
@@ -61,7 +64,7 @@
         self.follow(now, best, applied);
     }
 
-    /// Follows a replica, and ends the link to the one before: what that one fed would come twice.
+    /// Follows a replica and closes the link to the previous one, whose entries would arrive twice.
     fn follow(&mut self, now: Duration, token: Token, applied: u64) {
         if let Some(before) = self.followed.replace(token) {
             self.links.remove(&before);
@@ -77,27 +80,27 @@
             applied = applied,
             behind = head.is_some_and(|head| head.applied > applied)
         );
-        self.leader_heard = Some(now);
+        self.last_leader_message = Some(now);
         if applied == 0 {
-            self.note_asked(now, token);
+            self.note_state_request(now, token);
         }
-        self.ask(token, applied);
+        self.request_entries(token, applied);
     }
 
-    /// Whether a first state should be taken from a link's replica now.
-    fn may_ask_for_state(&self, now: Duration, token: Token) -> bool {
+    /// Whether the initial state should be requested from a link's replica now.
+    fn may_request_state(&self, now: Duration, token: Token) -> bool {
         let preferred = self.replicas.preferred(now);
         let is_preferred = preferred.as_ref() == Some(&self.links[&token].address);
         self.first_source.may_ask(now, is_preferred)
     }
 
-    fn note_asked(&mut self, now: Duration, token: Token) {
-        self.asked_for_state = Some(token);
+    fn note_state_request(&mut self, now: Duration, token: Token) {
+        self.state_requested_from = Some(token);
         self.first_source.asked(now);
     }
 
-    /// Drops links that are not wanted any more, once a wanted one is followed.
-    pub(super) fn drop_surplus(&mut self, now: Duration) {
+    /// Closes links to replicas that are no longer preferred, once a preferred one is followed.
+    pub(super) fn drop_surplus_links(&mut self, now: Duration) {
         let Some(followed) = self.fed_link(now) else {
             return;
         };
@@ -106,16 +109,16 @@
             return;
         }
         self.links
-            .retain(|_, link| link.end == LinkEnd::Relay || wanted.contains(&link.address));
+            .retain(|_, link| link.peer == LinkPeer::Relay || wanted.contains(&link.address));
     }
 
-    /// Addresses that should be linked and are not.
-    pub(super) fn missing(&self, now: Duration, applied: u64) -> Vec<String> {
+    /// Addresses of replicas that should be linked and are not.
+    pub(super) fn missing_addresses(&self, now: Duration, applied: u64) -> Vec<String> {
         let mut wanted = self.replicas.wanted(now, self.fed_link(now).is_some());
-        let mut limit = LINK_LIMIT;
+        let mut limit = MAX_LINKS;
         if applied == 0 {
             wanted.extend(self.replicas.witnesses(now));
-            limit = FIRST_LINK_LIMIT;
+            limit = MAX_INITIAL_LINKS;
         }
         let linked: BTreeSet<&String> = self.links.values().map(|link| &link.address).collect();
         let mut missing: Vec<String> = Vec::new();
@@ -128,23 +131,25 @@
         missing
     }
 
-    /// A replica is not fed: others are tried in its place. A gateway without a state asks it for its own.
-    pub(super) fn leave_unfed(&mut self, now: Duration, token: Token, applied: u64) {
+    /// Avoids a replica that does not receive the leader's log, so that others are tried in its place. A
+    /// gateway without any state tries to take its initial state from such replicas instead.
+    pub(super) fn on_unfed_replica(&mut self, now: Duration, token: Token, applied: u64) {
         if applied == 0 {
-            return self.ask_for_first_state(now);
+            return self.request_initial_state(now);
         }
         let Some(link) = self.links.get(&token) else {
             return;
         };
-        self.replicas.avoid(now, &link.address, UNFED_PAUSE);
-        // A few such links stay while nobody is fed: they tell at once when a leader speaks.
-        if self.followed != Some(token) && self.links.len() >= LINK_LIMIT {
+        self.replicas.avoid(now, &link.address, UNFED_RETRY_DELAY);
+        // While no replica receives the leader's log, a few such links stay open: they show at once when a
+        // leader is back.
+        if self.followed != Some(token) && self.links.len() >= MAX_LINKS {
             self.links.remove(&token);
         }
     }
 
-    /// Asks for the state that a majority of the voters holds, until a leader speaks.
-    pub(super) fn ask_for_first_state(&mut self, now: Duration) {
+    /// Requests the state that a majority of the voters holds, while no leader is known.
+    pub(super) fn request_initial_state(&mut self, now: Duration) {
         if self.followed.is_some() || self.first_source.is_under_way(now) {
             return;
         }
@@ -163,11 +168,11 @@
         let Some((token, address, _)) = nearest else {
             return;
         };
-        if !self.may_ask_for_state(now, token) {
+        if !self.may_request_state(now, token) {
             return;
         }
         event!(Event::StateFetched, replica = address, index = index);
-        self.note_asked(now, token);
+        self.note_state_request(now, token);
         if let Some(link) = self.links.get_mut(&token) {
             link.send(&ToReplica::FetchState);
         }
--- a/crates/gateway/src/follow/link.rs
+++ b/crates/gateway/src/follow/link.rs
@@ -1,70 +1,68 @@
-//! One connection to a replica of the directory, or to a gateway that gives the state on.
+//! A connection to a directory replica, or to a gateway that relays the state.
 
 use std::time::Duration;
 
 use grebepin_directory::link::{FromReplica, Head, ToReplica};
 use grebepin_reactor::{encode_frame, take_frame, Connection, ReadOutcome};
 
-/// Bytes taken in before a frame must be whole.
+/// Bytes that are buffered until a frame is complete.
 const BUFFER_LIMIT: usize = 65 << 20;
 
-/// What is at the other end of a link.
+/// Kind of process at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LinkEnd {
+pub(super) enum LinkPeer {
     /// A replica of the directory.
     Replica,
     /// Another gateway.
     Relay,
 }
 
-/// One link.
 #[derive(Debug)]
 pub(super) struct Link {
-    pub(super) end: LinkEnd,
+    pub(super) peer: LinkPeer,
     pub(super) address: String,
     connection: Connection,
     pub(super) connected: bool,
-    pub(super) began: Duration,
-    pub(super) heard: Duration,
-    /// What a replica last told about itself.
+    pub(super) opened_at: Duration,
+    pub(super) last_received: Duration,
+    /// Last status message of a replica.
     pub(super) head: Option<Head>,
-    /// When the last report went out; `None` before the first.
-    pub(super) reported: Option<Duration>,
+    /// When the last report was sent; `None` before the first.
+    pub(super) last_report: Option<Duration>,
 }
 
 impl Link {
-    /// A link that was just begun.
     pub(super) fn new(
-        end: LinkEnd,
+        peer: LinkPeer,
         address: String,
         connection: Connection,
         now: Duration,
     ) -> Self {
         Self {
-            end,
+            peer,
             address,
             connection,
             connected: false,
-            began: now,
-            heard: now,
+            opened_at: now,
+            last_received: now,
             head: None,
-            reported: None,
+            last_report: None,
         }
     }
 
-    /// Sends a frame; a link that breaks shows it at the next event.
+    /// Sends a frame. A send error is not returned: a broken connection shows at the next event.
     pub(super) fn send(&mut self, frame: &ToReplica) {
         let _ = encode_frame(frame, self.connection.outbound());
         let _ = self.connection.flush();
     }
 
-    /// Handles what happened, and takes the frames that came; whether the link is still of use.
-    pub(super) fn advance(&mut self, now: Duration, frames: &mut Vec<FromReplica>) -> bool {
+    /// Handles a socket event and appends the received frames; returns whether the link is still usable.
+    pub(super) fn on_event(&mut self, now: Duration, frames: &mut Vec<FromReplica>) -> bool {
         if !self.connected {
             match self.connection.check_connected() {
                 Ok(true) => {
                     self.connected = true;
-                    self.heard = now;
+                    self.last_received = now;
                 }
                 Ok(false) => return true,
                 Err(_) => return false,
@@ -82,7 +80,7 @@
         }
         self.connection.trim();
         if !frames.is_empty() {
-            self.heard = now;
+            self.last_received = now;
         }
         let is_open = matches!(outcome, Ok(ReadOutcome::Open | ReadOutcome::Full));
         is_open && self.connection.flush().is_ok()
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -1,5 +1,5 @@
-//! Links to two of the directory's replicas; one that is fed by the leader, or leads itself, feeds this gateway.
-//! While none does, other gateways do.
+//! Client of the directory. It keeps links to two replicas and receives the log from one that leads or is fed
+//! by the leader. While there is none, it follows other gateways as relays.
 
 mod feed;
 mod link;
@@ -16,7 +16,7 @@
 use grebepin_grants::{LoadSample, Permit};
 use grebepin_reactor::{decode_frame, Connection};
 use grebepin_telemetry::{event, Event};
-use link::{Link, LinkEnd};
+use link::{Link, LinkPeer};
 use mio::{Registry, Token};
 
 use crate::crash_memory::CrashMemory;
@@ -26,180 +26,180 @@
 use crate::replicas::Replicas;
 use crate::settings::GatewaySettings;
 
-/// Time a link may take to come up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout for establishing a link.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time without a word after which a link is made anew.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_600);
+/// Time without a message after which a link is closed and opened again.
+const LINK_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Time after the first count of all gateways for which it may still be too low: a new leader hears from all
+/// Time for which the first count of gateways may still be too low: a new leader receives the reports of all
 /// replicas within 0.5 s.
-const COUNT_SETTLES_AFTER: Duration = Duration::from_millis(1_500);
+const GATEWAY_COUNT_SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Pause before a link is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a replica is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The same for a gateway that has no state yet: after a loss of everything replicas may start some
-/// tenths of a second later than gateways.
-const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// The same for a gateway without any state: after a failure of all machines, replicas may start some tenths
+/// of a second later than gateways.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Time between two ticks, and until the first configuration, so that replicas are found as soon as they
-/// listen.
-const TICK_EVERY: Duration = Duration::from_millis(200);
-const FIRST_TICK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between two ticks, and the one used until the first configuration arrives, so that replicas are
+/// found as soon as they listen.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+const INITIAL_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two words to each replica.
-const REPORT_EVERY: Duration = Duration::from_millis(1_000);
+/// Interval between two reports to each replica.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The same for the followed replica while requests find no room, or after a crash of a server.
-const URGENT_REPORT_EVERY: Duration = Duration::from_millis(300);
+/// The same for the followed replica while requests wait for capacity, or after a server crashed.
+const URGENT_REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Bytes before the value of an encoded state.
 const STATE_PREFIX_BYTES: usize = 4;
 
-/// News from the directory.
+/// An update that was received from the directory or a relay.
 #[derive(Debug)]
 pub enum Update {
-    /// The whole state at a log index.
-    Whole(u64, Box<Catalog>),
-    /// Entries in the order of the log.
+    /// A snapshot of the state at a log index.
+    Snapshot(u64, Box<Catalog>),
+    /// Entries in log order.
     Entries(Vec<(u64, Entry)>),
-    /// How many gateways there are, as the leader counts them.
+    /// Number of gateways, as the leader counts them.
     Gateways(u32),
-    /// The answer to a request for a permit.
+    /// The answer to a permit request.
     Permit {
-        /// Name of the request for it.
+        /// Id of the permit request.
         id: u64,
-        /// The leader's answer; `None` when none can be reached.
+        /// The leader's answer; `None` when no leader can be reached.
         permit: Option<Permit>,
     },
 }
 
-/// The state in force here, as far as links depend on it.
+/// The state in force at this gateway, as far as the links depend on it.
 #[derive(Clone, Copy, Debug)]
-pub struct HeldState {
-    /// Log index applied; 0 without any state.
+pub struct AppliedState {
+    /// Log index of the last applied entry; 0 without any state.
     pub applied: u64,
-    /// Whether it holds a configuration.
+    /// Whether the state holds a configuration.
     pub is_configured: bool,
 }
 
-/// What this gateway has to tell.
-pub struct News<'a> {
-    /// What it saw of load.
+/// What the next report to the directory contains.
+pub struct ReportContent<'a> {
+    /// Load counted since the last report.
     pub load: &'a mut LoadCounts,
-    /// Servers that crashed.
+    /// Crashes of servers.
     pub crashes: &'a mut CrashMemory,
 }
 
-impl News<'_> {
-    /// Whether the directory should hear soon.
+impl ReportContent<'_> {
+    /// Whether the report should be sent early.
     fn is_urgent(&self) -> bool {
         self.load.is_crowded() || self.crashes.has_news()
     }
 }
 
-/// All links.
+/// Client of the directory: all links to replicas and relays.
 #[derive(Debug)]
-pub struct Directory {
+pub struct DirectoryClient {
     node: String,
-    source: Option<IpAddr>,
+    bind_ip: Option<IpAddr>,
     replicas: Replicas,
     links: BTreeMap<Token, Link>,
-    /// Pause before a replica that can't be reached is tried again.
-    retry_pause: Duration,
+    /// Delay before a replica that can't be reached is tried again.
+    retry_delay: Duration,
     followed: Option<Token>,
     relays: Relays,
-    /// The link whose replica was asked for a first state.
-    asked_for_state: Option<Token>,
+    /// The link whose replica was asked for the initial state.
+    state_requested_from: Option<Token>,
     first_source: FirstSource,
-    /// When a replica first told how many gateways there are.
-    counted_since: Option<Duration>,
-    /// When the followed replica last spoke and was fed.
-    pub leader_heard: Option<Duration>,
+    /// When a replica first reported the number of gateways.
+    gateways_known_since: Option<Duration>,
+    /// When the followed replica last sent a message while it received the leader's log.
+    pub last_leader_message: Option<Duration>,
 }
 
-impl Directory {
-    /// No links yet.
+impl DirectoryClient {
+    /// Creates a client without any links.
     pub fn new(settings: &GatewaySettings) -> Self {
         let seeds = addresses(&settings.seed_links());
         Self {
-            source: settings.bind_ip,
+            bind_ip: settings.bind_ip,
             node: settings.node.clone(),
             replicas: Replicas::new(&settings.node, &settings.zone, seeds),
             links: BTreeMap::new(),
-            retry_pause: FIRST_RETRY_PAUSE,
+            retry_delay: INITIAL_RETRY_DELAY,
             followed: None,
             relays: Relays::new(&settings.relay_name()),
-            asked_for_state: None,
+            state_requested_from: None,
             first_source: FirstSource::default(),
-            counted_since: None,
-            leader_heard: None,
+            gateways_known_since: None,
+            last_leader_message: None,
         }
     }
 
-    /// Takes other seeds over from changed settings.
+    /// Replaces the seeds after the settings changed.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.replicas.set_seeds(addresses(seeds));
     }
 
-    /// Whether a token names one of these links.
+    /// Whether a token belongs to one of these links.
     pub fn owns(&self, token: Token) -> bool {
         self.links.contains_key(&token)
     }
 
-    /// Whether the count of all gateways is known and has settled, so that what they share can be divided.
-    pub fn knows_gateways(&self, now: Duration) -> bool {
-        let since = self.counted_since;
-        since.is_some_and(|since| now >= since + COUNT_SETTLES_AFTER)
+    /// Whether the number of gateways is known and has settled, so that shared limits can be divided by it.
+    pub fn knows_gateway_count(&self, now: Duration) -> bool {
+        let since = self.gateways_known_since;
+        since.is_some_and(|since| now >= since + GATEWAY_COUNT_SETTLE_TIME)
     }
 
-    /// Links to replicas at present.
+    /// Number of open links, to replicas and relays.
     pub fn link_count(&self) -> usize {
         self.links.len()
     }
 
-    /// Time after which [`Directory::tick`] is due again.
-    pub fn tick_pause(is_configured: bool) -> Duration {
+    /// Time after which [`DirectoryClient::tick`] is due again.
+    pub fn tick_interval(is_configured: bool) -> Duration {
         match is_configured {
-            true => TICK_EVERY,
-            false => FIRST_TICK_EVERY,
+            true => TICK_INTERVAL,
+            false => INITIAL_TICK_INTERVAL,
         }
     }
 
-    /// Makes links that are missing and drops those that are of no use. Tokens from `next_token` on
+    /// Opens missing links, closes useless ones, and sends reports that are due. Tokens from `next_token` on
     /// are free.
     pub fn tick(
         &mut self,
         now: Duration,
         registry: &Registry,
         next_token: &mut usize,
-        news: News<'_>,
-        held: HeldState,
+        content: ReportContent<'_>,
+        state: AppliedState,
     ) {
-        self.retry_pause = match held.is_configured {
-            true => RETRY_PAUSE,
-            false => FIRST_RETRY_PAUSE,
+        self.retry_delay = match state.is_configured {
+            true => RETRY_DELAY,
+            false => INITIAL_RETRY_DELAY,
         };
-        self.drop_useless(now);
+        self.drop_dead_links(now);
         self.replicas.tick(now);
-        self.choose_feed(now, held.applied);
-        if held.applied == 0 {
-            self.ask_for_first_state(now);
+        self.choose_feed(now, state.applied);
+        if state.applied == 0 {
+            self.request_initial_state(now);
         }
-        for address in self.missing(now, held.applied) {
-            self.begin(now, registry, next_token, LinkEnd::Replica, address);
+        for address in self.missing_addresses(now, state.applied) {
+            self.open_link(now, registry, next_token, LinkPeer::Replica, address);
         }
-        self.drop_surplus(now);
-        self.keep_relays(now, registry, next_token);
-        self.report(now, news);
+        self.drop_surplus_links(now);
+        self.update_relays(now, registry, next_token);
+        self.report(now, content);
     }
 
-    /// Drops links that don't come up or are silent.
-    fn drop_useless(&mut self, now: Duration) {
+    /// Closes links that are not established in time or have been silent for too long.
+    fn drop_dead_links(&mut self, now: Duration) {
         let useless = self.links.iter().filter(|(_, link)| match link.connected {
-            false => now > link.began + CONNECT_LIMIT,
-            true => now > link.heard + SILENCE_LIMIT,
+            false => now > link.opened_at + CONNECT_TIMEOUT,
+            true => now > link.last_received + LINK_TIMEOUT,
         });
         let useless: Vec<Token> = useless.map(|(token, _)| *token).collect();
         for token in useless {
@@ -207,12 +207,12 @@
         }
     }
 
-    /// Follows relays while no leader speaks, and leaves them once one does.
-    fn keep_relays(&mut self, now: Duration, registry: &Registry, next_token: &mut usize) {
+    /// Follows relays while the leader is silent, and closes the links to them once it is back.
+    fn update_relays(&mut self, now: Duration, registry: &Registry, next_token: &mut usize) {
         let links = self.links.iter();
-        let in_use = links.filter(|(_, link)| link.end == LinkEnd::Relay);
+        let in_use = links.filter(|(_, link)| link.peer == LinkPeer::Relay);
         let in_use: Vec<Token> = in_use.map(|(token, _)| *token).collect();
-        if !self.relays.are_needed(now, self.leader_heard) {
+        if !self.relays.are_needed(now, self.last_leader_message) {
             for token in in_use {
                 self.links.remove(&token);
             }
@@ -223,57 +223,58 @@
             .map(|token| &self.links[token].address)
             .collect();
         for address in self.relays.wanted(now, &in_use) {
-            self.begin(now, registry, next_token, LinkEnd::Relay, address);
+            self.open_link(now, registry, next_token, LinkPeer::Relay, address);
         }
     }
 
-    /// Begins a link.
-    fn begin(
+    /// Opens a link.
+    fn open_link(
         &mut self,
         now: Duration,
         registry: &Registry,
         next_token: &mut usize,
-        end: LinkEnd,
+        peer: LinkPeer,
         address: String,
     ) {
         let token = Token(*next_token);
         let begun = address
             .parse()
             .ok()
-            .and_then(|parsed| Connection::connect(parsed, self.source, registry, token).ok());
+            .and_then(|parsed| Connection::connect(parsed, self.bind_ip, registry, token).ok());
         let Some(connection) = begun else {
-            self.replicas.avoid(now, &address, self.retry_pause);
+            self.replicas.avoid(now, &address, self.retry_delay);
             return;
         };
         *next_token += 1;
-        connection.limit_silence(SILENCE_LIMIT);
+        connection.limit_silence(LINK_TIMEOUT);
         self.links
-            .insert(token, Link::new(end, address, connection, now));
+            .insert(token, Link::new(peer, address, connection, now));
     }
 
-    /// Whether the leader speaks to this gateway, so that its state is fresh.
+    /// Whether this gateway receives the leader's log, so that its state is current.
     pub fn is_fed(&self, now: Duration) -> bool {
-        self.followed.is_some() && !self.relays.are_needed(now, self.leader_heard)
+        self.followed.is_some() && !self.relays.are_needed(now, self.last_leader_message)
     }
 
-    /// Tells every linked replica that this gateway is there, and the followed one what was counted.
-    fn report(&mut self, now: Duration, news: News<'_>) {
-        let pause_of_followed = match news.is_urgent() {
-            true => URGENT_REPORT_EVERY,
-            false => REPORT_EVERY,
+    /// Sends reports that are due: to every linked replica that this gateway is alive, and to the followed
+    /// one also load and crashes.
+    fn report(&mut self, now: Duration, content: ReportContent<'_>) {
+        let followed_interval = match content.is_urgent() {
+            true => URGENT_REPORT_INTERVAL,
+            false => REPORT_INTERVAL,
         };
         let links = self.links.iter();
         let due = links.filter(|(token, link)| {
-            let pause = match self.followed == Some(**token) {
-                true => pause_of_followed,
-                false => REPORT_EVERY,
+            let interval = match self.followed == Some(**token) {
+                true => followed_interval,
+                false => REPORT_INTERVAL,
             };
-            link.connected && link.reported.is_none_or(|at| now >= at + pause)
+            link.connected && link.last_report.is_none_or(|at| now >= at + interval)
         });
         let due: Vec<Token> = due.map(|(token, _)| *token).collect();
         for token in due {
             let (load, crashes) = match self.followed == Some(token) {
-                true => (news.load.take(), news.crashes.reports(now)),
+                true => (content.load.take(), content.crashes.reports(now)),
                 false => (LoadSample::default(), Vec::new()),
             };
             self.send_report(now, token, load, crashes);
@@ -290,7 +291,7 @@
         let Some(link) = self.links.get_mut(&token) else {
             return;
         };
-        link.reported = Some(now);
+        link.last_report = Some(now);
         let frame = ToReplica::Report(GatewayReport {
             node: self.node.clone(),
             relay: self.relays.own().to_owned(),
@@ -300,8 +301,9 @@
         link.send(&frame);
     }
 
-    /// Asks the leader, by way of the followed replica, for a permit; whether there is one to ask.
-    pub fn ask_permit(&mut self, now: Duration, request: PermitRequest) -> bool {
+    /// Requests a permit from the leader through the followed replica; returns whether there is a leader to
+    /// ask.
+    pub fn request_permit(&mut self, now: Duration, request: PermitRequest) -> bool {
         let followed = self.fed_link(now);
         let link = followed.and_then(|token| self.links.get_mut(&token));
         let Some(link) = link else {
@@ -311,18 +313,18 @@
         true
     }
 
-    /// Handles what happened on a link. `applied` is the log index in force here.
+    /// Handles a socket event on a link. `applied` is the log index in force here.
     pub fn on_event(&mut self, now: Duration, token: Token, applied: u64) -> Vec<Update> {
         let mut frames = Vec::new();
         let was_connected = self.links.get(&token).is_some_and(|link| link.connected);
         let link = self.links.get_mut(&token);
-        if link.is_some_and(|link| !link.advance(now, &mut frames)) {
+        if link.is_some_and(|link| !link.on_event(now, &mut frames)) {
             self.drop_link(now, token);
         }
         if !was_connected && self.links.get(&token).is_some_and(|link| link.connected) {
-            // A replica tells whether it leads once it knows who asks.
+            // A replica sends its status only after it knows who is connected.
             self.send_report(now, token, LoadSample::default(), Vec::new());
-            self.ask_relay(token, applied);
+            self.follow_relay(token, applied);
         }
         let mut updates = Vec::new();
         for frame in frames {
@@ -332,7 +334,7 @@
                 FromReplica::Whole { index, state } => {
                     let bytes = state.get(STATE_PREFIX_BYTES..).unwrap_or_default();
                     match decode_frame::<Catalog>(bytes) {
-                        Ok(catalog) => updates.push(Update::Whole(index, Box::new(catalog))),
+                        Ok(catalog) => updates.push(Update::Snapshot(index, Box::new(catalog))),
                         Err(error) => {
                             event!(Event::StateUnreadable, index = index, error = error);
                         }
@@ -343,26 +345,26 @@
             }
         }
         if self.followed == Some(token) && self.is_fed_link(now, token) {
-            self.leader_heard = Some(now);
+            self.last_leader_message = Some(now);
         }
         updates
     }
 
-    /// Asks those who feed this gateway for everything after `applied` again, after a gap.
-    pub fn follow_again(&mut self, applied: u64) {
+    /// Requests all entries after `applied` again from the followed replica and the relays, after a gap.
+    pub fn resync(&mut self, applied: u64) {
         if let Some(token) = self.followed {
-            self.ask(token, applied);
+            self.request_entries(token, applied);
         }
         let tokens: Vec<Token> = self.links.keys().copied().collect();
         for token in tokens {
-            self.ask_relay(token, applied);
+            self.follow_relay(token, applied);
         }
     }
 
-    /// Asks a link for everything after `applied` if it is up and leads to a relay.
-    fn ask_relay(&mut self, token: Token, applied: u64) {
+    /// Requests all entries after `applied` from a relay, if the link is established and leads to one.
+    fn follow_relay(&mut self, token: Token, applied: u64) {
         let link = self.links.get(&token);
-        let Some(link) = link.filter(|link| link.connected && link.end == LinkEnd::Relay) else {
+        let Some(link) = link.filter(|link| link.connected && link.peer == LinkPeer::Relay) else {
             return;
         };
         event!(
@@ -370,7 +372,7 @@
             relay = link.address,
             applied = applied
         );
-        self.ask(token, applied);
+        self.request_entries(token, applied);
     }
 
     fn on_head(
@@ -382,8 +384,8 @@
         updates: &mut Vec<Update>,
     ) {
         self.relays.note(now, &head.relays);
-        let end = self.links.get(&token).map(|link| link.end);
-        if end == Some(LinkEnd::Relay) {
+        let peer = self.links.get(&token).map(|link| link.peer);
+        if peer == Some(LinkPeer::Relay) {
             if !head.is_fed {
                 self.drop_link(now, token);
             }
@@ -393,7 +395,7 @@
         self.first_source.heard(now);
         let is_fed = head.is_fed;
         if is_fed && head.gateways > 0 {
-            self.counted_since.get_or_insert(now);
+            self.gateways_known_since.get_or_insert(now);
             updates.push(Update::Gateways(head.gateways));
         }
         let Some(link) = self.links.get_mut(&token) else {
@@ -405,11 +407,11 @@
                 self.replicas.trust(&link.address);
                 self.choose_feed(now, applied);
             }
-            false => self.leave_unfed(now, token, applied),
+            false => self.on_unfed_replica(now, token, applied),
         }
     }
 
-    fn ask(&mut self, token: Token, applied: u64) {
+    fn request_entries(&mut self, token: Token, applied: u64) {
         let Some(link) = self.links.get_mut(&token) else {
             return;
         };
@@ -424,13 +426,13 @@
         let Some(link) = self.links.remove(&token) else {
             return;
         };
-        if link.end == LinkEnd::Relay {
+        if link.peer == LinkPeer::Relay {
             self.relays.failed(now, &link.address);
             return;
         }
-        self.replicas.avoid(now, &link.address, self.retry_pause);
-        if self.asked_for_state == Some(token) {
-            self.asked_for_state = None;
+        self.replicas.avoid(now, &link.address, self.retry_delay);
+        if self.state_requested_from == Some(token) {
+            self.state_requested_from = None;
             self.first_source.lost();
         }
         if self.followed == Some(token) {
--- a/crates/gateway/src/forwarding.rs
+++ b/crates/gateway/src/forwarding.rs
@@ -1,4 +1,5 @@
-//! A request's first phases: read, routed, and given to a server, or kept until one can take it.
+//! First phases of a request: it is read, routed, admitted and dispatched to a server, or held until one is
+//! available.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,46 +9,46 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use crate::answers::OwnAnswer;
 use crate::crash_memory::fingerprint;
-use crate::flight::{Flight, FlightId, Place};
+use crate::event_loop::{EventLoop, Timer};
+use crate::flight::{InFlightId, InFlightRequest, InFlightState};
 use crate::headers::HeaderNames;
-use crate::placing::is_turn;
+use crate::http_writer::LocalResponse;
+use crate::placing::warmup_allows;
 use crate::refusal::Refusal;
-use crate::server::{Due, Server};
 use crate::stopping::Stopping;
 
-/// Longest wait for a key's owner or for room at a server, as a part of the target latency: a client
-/// that is refused by then can still be served in time.
-pub(crate) const WAIT_PART: f64 = 0.2;
+/// Longest wait for a key's owner or for server capacity, as a fraction of the route's target latency. A
+/// client that is refused after this wait can still be served elsewhere in time.
+pub(crate) const MAX_WAIT_FRACTION: f64 = 0.2;
 
-/// Time that is left at least, so that sending a request makes sense.
-pub(crate) const LEAST_TIME: Duration = Duration::from_millis(5);
+/// Least time before expiry at which a request is still sent; with less, the server could not answer in time.
+pub(crate) const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// A request as it was read, before it is taken in or turned away.
-struct Arrival {
+/// A request that was read and is not yet admitted.
+struct IncomingRequest {
     /// Connection of the client.
     token: Token,
     request: Request,
-    /// Id that the client gave the attempt; empty without one.
+    /// Id that the client gave this attempt; empty if it sent none.
     request_id: String,
-    /// How long the client waits from `began` on, where it says so.
-    stated: Option<Duration>,
-    /// When its first byte came.
-    began: Duration,
+    /// How long the client waits from `received_at` on; `None` if it did not say.
+    stated_timeout: Option<Duration>,
+    /// When the first byte arrived.
+    received_at: Duration,
 }
 
-impl Arrival {
-    fn new(token: Token, request: Request, began: Duration, names: &HeaderNames) -> Self {
+impl IncomingRequest {
+    fn new(token: Token, request: Request, received_at: Duration, names: &HeaderNames) -> Self {
         let request_id = request.fields.get(names.request_id);
-        let stated = request.fields.get(names.deadline_ms);
-        let stated = stated.and_then(|text| text.parse().ok());
+        let stated_timeout = request.fields.get(names.deadline_ms);
+        let stated_timeout = stated_timeout.and_then(|text| text.parse().ok());
         Self {
             token,
             request_id: request_id.unwrap_or_default().to_owned(),
-            stated: stated.map(Duration::from_millis),
+            stated_timeout: stated_timeout.map(Duration::from_millis),
             request,
-            began,
+            received_at,
         }
     }
 
@@ -60,25 +61,25 @@
         target.unwrap_or_default()
     }
 
-    /// Key, where the request carries one.
+    /// Key of the request; `None` if it carries none.
     fn key(&self, names: &HeaderNames) -> Option<u16> {
         let text = self.request.fields.get(names.shard_key)?;
         text.parse().ok()
     }
 
-    /// How long its client waits; as long as its route holds it when the client does not say.
-    fn patience(&self, route: &Route) -> Duration {
-        self.stated.unwrap_or(route.timeout)
+    /// How long the client waits; the route's timeout when the client does not say.
+    fn client_timeout(&self, route: &Route) -> Duration {
+        self.stated_timeout.unwrap_or(route.timeout)
     }
 
-    /// When it is given up here.
+    /// When the gateway gives the request up.
     fn expires(&self, route: &Route) -> Duration {
-        self.began + self.patience(route).min(route.timeout)
+        self.received_at + self.client_timeout(route).min(route.timeout)
     }
 }
 
-impl Server {
-    /// Something came from a client, or can be sent to it.
+impl EventLoop {
+    /// Handles an event on a client connection.
     pub(crate) fn on_client(&mut self, token: Token) {
         let limits = self.request_limits();
         let limit = limits.head_bytes + limits.body_bytes as usize;
@@ -87,24 +88,24 @@
         };
         let open = client.fill(limit) && client.flush();
         if !open {
-            return self.lose_client(token);
+            return self.drop_client(token);
         }
-        self.take_request(token);
+        self.handle_next_request(token);
     }
 
-    /// The client is gone: what was begun for it ends.
-    fn lose_client(&mut self, token: Token) {
+    /// Drops a client that closed its connection, and cancels its request.
+    fn drop_client(&mut self, token: Token) {
         let Some(client) = self.clients.remove(&token) else {
             return;
         };
-        if let Some(flight) = client.flight {
-            self.recall(flight);
-            self.flights.remove(flight);
+        if let Some(request) = client.request {
+            self.cancel_attempt(request);
+            self.in_flight.remove(request);
         }
     }
 
-    /// Takes the next whole request of a client.
-    pub(crate) fn take_request(&mut self, token: Token) {
+    /// Handles the next complete request of a client.
+    pub(crate) fn handle_next_request(&mut self, token: Token) {
         let now = self.now();
         let limits = self.request_limits();
         let Some(client) = self.clients.get_mut(&token) else {
@@ -112,72 +113,79 @@
         };
         match client.next_request(now, limits) {
             Ok(None) => {}
-            Ok(Some((request, began))) => self.begin(token, request, began, now),
+            Ok(Some((request, received_at))) => self.route(token, request, received_at, now),
             Err(error) => {
                 client.keeps_alive = false;
-                self.answer_client(token, OwnAnswer::status(error.status()).closing(), "");
+                self.respond(token, LocalResponse::status(error.status()).closing(), "");
             }
         }
     }
 
-    /// Finds the route of a request and sends it on its way.
-    fn begin(&mut self, token: Token, request: Request, began: Duration, now: Duration) {
-        let arrival = Arrival::new(token, request, began, &self.names);
+    /// Selects the route and service of a request, then admits or rejects it.
+    fn route(&mut self, token: Token, request: Request, received_at: Duration, now: Duration) {
+        let incoming = IncomingRequest::new(token, request, received_at, &self.names);
         if !self.table.is_configured() {
-            return self.turn_away(&arrival, Refusal::Unconfigured);
+            return self.reject(&incoming, Refusal::Unconfigured);
         }
-        let Some((name, route)) = self.table.route(arrival.host(), arrival.path()) else {
-            return self.answer_without_route(&arrival);
+        let Some((name, route)) = self.table.route(incoming.host(), incoming.path()) else {
+            return self.reject_unrouted(&incoming);
         };
-        if self.is_quarantined(&arrival.request) {
-            return self.turn_away(&arrival, Refusal::Quarantined);
+        if self.is_quarantined(&incoming.request) {
+            return self.reject(&incoming, Refusal::Quarantined);
         }
         let name = name.to_owned();
         let target = self.splitter.next(&name, &route);
         let service = route.targets[target].service.clone();
-        let stated = arrival.stated;
-        let came_back = stated.is_some_and(|stated| self.patience.is_returned(now, &name, stated));
-        match self.admit(&arrival, &route, &service, came_back, now) {
-            Ok(()) => self.take_in(arrival, name, route, service, came_back),
-            Err(refusal) => self.turn_away(&arrival, refusal),
+        let stated_timeout = incoming.stated_timeout;
+        let is_client_retry = stated_timeout
+            .is_some_and(|stated_timeout| self.patience.is_returned(now, &name, stated_timeout));
+        match self.admit(&incoming, &route, &service, is_client_retry, now) {
+            Ok(()) => self.accept(incoming, name, route, service, is_client_retry),
+            Err(refusal) => self.reject(&incoming, refusal),
         }
     }
 
-    /// Whether a request crashed the servers that ran it. No request is hashed while none is quarantined.
+    /// Whether the request is quarantined because it crashed the servers that executed it. No request is
+    /// hashed while the quarantine is empty.
     fn is_quarantined(&self, request: &Request) -> bool {
         let quarantine = self.table.quarantine();
         !quarantine.is_empty() && quarantine.contains(fingerprint(request, &self.names))
     }
 
-    fn answer_without_route(&mut self, arrival: &Arrival) {
+    fn reject_unrouted(&mut self, incoming: &IncomingRequest) {
         event!(
             Event::RequestRefused,
-            id = arrival.request_id,
+            id = incoming.request_id,
             reason = "no route",
-            host = arrival.host(),
-            path = arrival.path(),
+            host = incoming.host(),
+            path = incoming.path(),
             applied = self.table.applied()
         );
-        self.answer_client(arrival.token, OwnAnswer::status(404), &arrival.request_id);
+        self.respond(
+            incoming.token,
+            LocalResponse::status(404),
+            &incoming.request_id,
+        );
     }
 
-    /// Whether a request can be finished here: before this gateway stops, and over its own link. There one that came
-    /// back counts a rank more than others of its route, so that clients who waited as they were told come first.
+    /// Checks that a request can be finished here: before this gateway stops, and over its network link. For
+    /// the link a client's retry ranks one above other requests of its route, so that clients that waited as
+    /// told are served first.
     fn admit(
         &mut self,
-        arrival: &Arrival,
+        incoming: &IncomingRequest,
         route: &Route,
         service: &str,
-        came_back: bool,
+        is_client_retry: bool,
         now: Duration,
     ) -> Result<(), Refusal> {
-        let expires = arrival.expires(route);
+        let expires = incoming.expires(route);
         let can_finish = |stopping: Stopping| stopping.can_finish(expires);
         if !self.stopping.is_none_or(can_finish) {
             return Err(Refusal::Stopping);
         }
-        let ranks = self.table.ranks_above_least(route) + u32::from(came_back);
-        let bytes = arrival.request.body.len();
+        let ranks = self.table.ranks_above_least(route) + u32::from(is_client_retry);
+        let bytes = incoming.request.body.len();
         match self.link_queue.take(now, service, bytes, ranks) {
             true => Ok(()),
             false => {
@@ -188,153 +196,155 @@
         }
     }
 
-    /// Takes a request in and sends it to a server.
-    fn take_in(
+    /// Records an admitted request and dispatches it.
+    fn accept(
         &mut self,
-        arrival: Arrival,
+        incoming: IncomingRequest,
         name: String,
         route: Arc<Route>,
         service: String,
-        came_back: bool,
+        is_client_retry: bool,
     ) {
         let now = self.now();
-        let key = arrival.key(&self.names);
+        let key = incoming.key(&self.names);
         let is_sharded = self.table.is_sharded(&service);
         let shard = is_sharded.then(|| shard_of_key(key.unwrap_or_default()));
         self.budgets.note_request(&service, now);
         if let Some(shard) = shard {
             self.load.note_request(&service, shard);
         }
-        let expires = arrival.expires(&route);
-        let token = arrival.token;
-        let flight = self.flights.add(Flight {
+        let expires = incoming.expires(&route);
+        let token = incoming.token;
+        let id = self.in_flight.add(InFlightRequest {
             client: token,
-            deadline: arrival.began + arrival.patience(&route),
-            request: arrival.request,
-            request_id: arrival.request_id,
+            deadline: incoming.received_at + incoming.client_timeout(&route),
+            message: incoming.request,
+            request_id: incoming.request_id,
             route_name: name,
             route,
             service,
             key,
             shard,
-            came_back,
-            began: arrival.began,
+            is_client_retry,
+            received_at: incoming.received_at,
             expires,
-            sendings: 0,
-            unreached: 0,
-            tried: Vec::new(),
-            permitted: None,
-            place: Place::Here,
+            attempts: 0,
+            connect_failures: 0,
+            tried_servers: Vec::new(),
+            permitted_server: None,
+            state: InFlightState::Dispatching,
         });
         if let Some(client) = self.clients.get_mut(&token) {
-            client.flight = Some(flight);
+            client.request = Some(id);
         }
-        self.deadlines.add(expires, Due::Expiry(flight));
-        self.dispatch(flight);
+        self.timers.add(expires, Timer::RequestExpiry(id));
+        self.dispatch(id);
     }
 
-    /// Refuses a request that was not taken in.
-    fn turn_away(&mut self, arrival: &Arrival, refusal: Refusal) {
+    /// Refuses a request that was not admitted.
+    fn reject(&mut self, incoming: &IncomingRequest, refusal: Refusal) {
         event!(
             Event::RequestRefused,
-            id = arrival.request_id,
+            id = incoming.request_id,
             reason = refusal.reason(),
-            host = arrival.host(),
-            path = arrival.path(),
+            host = incoming.host(),
+            path = incoming.path(),
             link_wait_ms = self.link_queue.wait(self.now()).as_millis()
         );
-        let answer = OwnAnswer::not_run(refusal.retry_after(arrival.stated));
-        let answer = match refusal {
-            Refusal::Stopping => answer.closing(),
-            _ => answer,
+        let response = LocalResponse::not_run(refusal.retry_after(incoming.stated_timeout));
+        let response = match refusal {
+            Refusal::Stopping => response.closing(),
+            _ => response,
         };
-        self.answer_client(arrival.token, answer, &arrival.request_id);
+        self.respond(incoming.token, response, &incoming.request_id);
     }
 
-    /// Sends a request to the server that may run it.
-    pub(crate) fn dispatch(&mut self, id: FlightId) {
+    /// Sends a request to a server that may execute it, or holds or refuses it.
+    pub(crate) fn dispatch(&mut self, id: InFlightId) {
         let now = self.now();
-        let Some(flight) = self.flights.get(id) else {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        if now + LEAST_TIME >= flight.expires {
+        if now + MIN_TIME_LEFT >= request.expires {
             return self.refuse(id, Refusal::NoTime);
         }
-        match flight.shard {
+        match request.shard {
             Some(shard) => self.dispatch_to_owner(id, shard),
             None => self.dispatch_to_pool(id),
         }
     }
 
-    fn dispatch_to_owner(&mut self, id: FlightId, shard: usize) {
+    fn dispatch_to_owner(&mut self, id: InFlightId, shard: usize) {
         let now = self.now();
-        let gateways = self.known_gateways();
-        let Some(flight) = self.flights.get(id) else {
+        let gateways = self.gateway_count();
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        let held = self.table.shard(&flight.service, shard);
+        let held = self.table.shard(&request.service, shard);
         let fence = held.map_or(0, |shard| shard.fence);
         let owner = held
             .and_then(|shard| shard.owner.as_ref())
             .and_then(|owner| self.table.instance(owner))
-            .filter(|instance| self.may_own(instance, now))
-            .filter(|instance| self.zone_exits.owner_may_serve(&instance.zone, now));
+            .filter(|instance| self.may_receive(instance, now))
+            .filter(|instance| self.evacuations.owner_may_serve(&instance.zone, now));
         match owner.cloned() {
-            Some(owner) if flight.unreached > 0 => {
+            Some(owner) if request.connect_failures > 0 => {
                 event!(
                     Event::ServerSuspected,
                     instance = owner.id,
                     reason = "owner out of reach"
                 );
-                self.await_owner(id, fence);
+                self.wait_for_owner(id, fence);
             }
             Some(owner) if self.cooldowns.left(&owner.id, now).is_some() => {
-                self.await_cooldown(id, &owner.id);
+                self.wait_for_cooldown(id, &owner.id);
             }
-            Some(owner) if !is_turn(&self.table, &self.warmup, &owner, gateways, now) => {
+            Some(owner) if !warmup_allows(&self.table, &self.warmup, &owner, gateways, now) => {
                 self.refuse(id, Refusal::WarmingUp);
             }
             Some(owner) if !self.balance.has_room(&owner.id, now) => {
                 self.load.note_crowd();
-                self.await_room(id, self.balance.opens_at(&owner.id, now));
+                self.wait_for_capacity(id, self.balance.opens_at(&owner.id, now));
             }
-            Some(owner) if self.lacks_permit(id, &owner.id) => self.ask_permit(id, &owner),
+            Some(owner) if self.needs_permit(id, &owner.id) => self.request_permit(id, &owner),
             Some(owner) => self.send(id, &owner),
-            None => self.await_owner(id, fence),
+            None => self.wait_for_owner(id, fence),
         }
     }
 
-    /// Whether an owner may get requests for its keys. One that leaves goes on until others took them over, within a part of
-    /// the drain time; a gateway that did not see it begin to drain can't tell how much of that is left.
-    fn may_own(&self, owner: &Instance, now: Duration) -> bool {
+    /// Whether an owner may receive requests for its keys. A draining owner still does for part of the drain
+    /// time, until others have taken its shards over. A gateway that did not see the drain begin can't tell
+    /// how much of that time is left, so it sends nothing.
+    fn may_receive(&self, owner: &Instance, now: Duration) -> bool {
         let is_ready = owner.state == InstanceState::Ready;
         let drains = owner.state == InstanceState::Draining && self.leaving.leaves(&owner.id);
         (is_ready || drains) && self.leaving.is_usable(&owner.id, now)
     }
 
-    /// Waits a bounded time for the key's shard to get a new owner.
-    fn await_owner(&mut self, id: FlightId, fence: u64) {
+    /// Holds a request until its key's shard has a new owner, for a bounded time.
+    fn wait_for_owner(&mut self, id: InFlightId, fence: u64) {
         let now = self.now();
-        let Some(flight) = self.flights.get_mut(id) else {
+        let Some(request) = self.in_flight.get_mut(id) else {
             return;
         };
-        let longest = flight.route.target_latency.mul_f64(WAIT_PART);
-        let until = flight.began + longest;
+        let longest = request.route.target_latency.mul_f64(MAX_WAIT_FRACTION);
+        let until = request.received_at + longest;
         if now >= until {
             return self.refuse(id, Refusal::NoOwner);
         }
-        flight.place = Place::AwaitingOwner { fence };
-        let due = Due::OwnerWait(id, flight.sendings);
-        self.deadlines.add(until, due);
+        request.state = InFlightState::AwaitingOwner { fence };
+        let due = Timer::OwnerWait(id, request.attempts);
+        self.timers.add(until, due);
     }
 
-    /// Waits for the owner of its key, which asked for no requests, if that is over soon; else it is refused at once.
-    fn await_cooldown(&mut self, id: FlightId, owner: &InstanceId) {
+    /// Holds a request whose key's owner asked for no requests if the cooldown ends soon enough, and refuses
+    /// it otherwise.
+    fn wait_for_cooldown(&mut self, id: InFlightId, owner: &InstanceId) {
         let now = self.now();
         let left = self.cooldowns.left(owner, now).unwrap_or_default();
         self.load.note_crowd();
         match self.can_wait(id, left) {
-            true => self.await_room(id, Some(now + left)),
+            true => self.wait_for_capacity(id, Some(now + left)),
             false => {
                 let refusal = self.cooldown_refusal(owner);
                 self.refuse(id, refusal);
@@ -342,86 +352,89 @@
         }
     }
 
-    /// Whether a request may be held for so long.
-    pub(crate) fn can_wait(&self, id: FlightId, time: Duration) -> bool {
-        let flight = self.flights.get(id);
-        flight.is_some_and(|flight| {
-            self.now() + time < flight.began + flight.route.target_latency.mul_f64(WAIT_PART)
+    /// Whether a request may be held for `time`.
+    pub(crate) fn can_wait(&self, id: InFlightId, time: Duration) -> bool {
+        let request = self.in_flight.get(id);
+        request.is_some_and(|request| {
+            self.now() + time
+                < request.received_at + request.route.target_latency.mul_f64(MAX_WAIT_FRACTION)
         })
     }
 
-    /// Waits a bounded time for room at a server, and looks again at `opens_at` if that is known.
-    pub(crate) fn await_room(&mut self, id: FlightId, opens_at: Option<Duration>) {
+    /// Holds a request until a server has capacity, for a bounded time. It is dispatched again at `opens_at`
+    /// if that is known.
+    pub(crate) fn wait_for_capacity(&mut self, id: InFlightId, opens_at: Option<Duration>) {
         let now = self.now();
-        let Some(flight) = self.flights.get_mut(id) else {
+        let Some(request) = self.in_flight.get_mut(id) else {
             return;
         };
-        let until = flight.began + flight.route.target_latency.mul_f64(WAIT_PART);
+        let until = request.received_at + request.route.target_latency.mul_f64(MAX_WAIT_FRACTION);
         if now >= until {
             return self.refuse(id, Refusal::NoRoom);
         }
-        flight.place = Place::AwaitingRoom;
-        let due = Due::RoomWait(id, flight.sendings);
-        let look_at = opens_at.map_or(until, |opens_at| opens_at.min(until));
-        self.deadlines.add(look_at, due);
+        request.state = InFlightState::AwaitingCapacity;
+        let due = Timer::CapacityWait(id, request.attempts);
+        let dispatch_at = opens_at.map_or(until, |opens_at| opens_at.min(until));
+        self.timers.add(dispatch_at, due);
     }
 
-    /// The wait for room, or the pause that took it, is over: looks again, or gives up when it is time.
-    pub(crate) fn end_room_wait(&mut self, id: FlightId, sendings: u32) {
-        let Some(flight) = self.flights.get(id) else {
+    /// Dispatches a request whose wait for capacity is over, or whose server's pause has ended. It is refused
+    /// if it has waited long enough.
+    pub(crate) fn end_capacity_wait(&mut self, id: InFlightId, attempts: u32) {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        if flight.place == Place::AwaitingRoom && flight.sendings == sendings {
+        if request.state == InFlightState::AwaitingCapacity && request.attempts == attempts {
             self.redispatch(id);
         }
     }
 
-    /// Servers have room again: requests that wait for it look again.
-    pub(crate) fn retry_awaiting_room(&mut self) {
-        for service in std::mem::take(&mut self.services_with_room) {
-            for id in self.flights.awaiting_room(&service) {
+    /// Dispatches the requests that wait for capacity at services whose servers may have some again.
+    pub(crate) fn dispatch_awaiting_capacity(&mut self) {
+        for service in std::mem::take(&mut self.services_with_capacity) {
+            for id in self.in_flight.awaiting_capacity(&service) {
                 self.redispatch(id);
             }
         }
     }
 
-    /// The wait for an owner is over.
-    pub(crate) fn end_owner_wait(&mut self, id: FlightId, sendings: u32) {
-        let Some(flight) = self.flights.get(id) else {
+    /// Dispatches or refuses a request whose wait for an owner is over.
+    pub(crate) fn end_owner_wait(&mut self, id: InFlightId, attempts: u32) {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        let waits = matches!(flight.place, Place::AwaitingOwner { .. });
-        if !waits || flight.sendings != sendings {
+        let waits = matches!(request.state, InFlightState::AwaitingOwner { .. });
+        if !waits || request.attempts != attempts {
             return;
         }
-        let longest = flight.route.target_latency.mul_f64(WAIT_PART);
-        match self.now() >= flight.began + longest {
+        let longest = request.route.target_latency.mul_f64(MAX_WAIT_FRACTION);
+        match self.now() >= request.received_at + longest {
             true => self.refuse(id, Refusal::NoOwner),
             false => self.redispatch(id),
         }
     }
 
-    /// Owners changed: requests that wait for one look again.
-    pub(crate) fn retry_awaiting_owner(&mut self) {
-        for id in self.flights.awaiting_owner() {
-            let Some(flight) = self.flights.get(id) else {
+    /// Dispatches the requests that wait for an owner and whose shard has a new one.
+    pub(crate) fn dispatch_awaiting_owner(&mut self) {
+        for id in self.in_flight.awaiting_owner() {
+            let Some(request) = self.in_flight.get(id) else {
                 continue;
             };
-            let Place::AwaitingOwner { fence } = flight.place else {
+            let InFlightState::AwaitingOwner { fence } = request.state else {
                 continue;
             };
-            let shard = flight.shard.unwrap_or_default();
-            let held = self.table.shard(&flight.service, shard);
+            let shard = request.shard.unwrap_or_default();
+            let held = self.table.shard(&request.service, shard);
             if held.is_some_and(|shard| shard.owner.is_some() && shard.fence > fence) {
                 self.redispatch(id);
             }
         }
     }
 
-    pub(crate) fn redispatch(&mut self, id: FlightId) {
-        if let Some(flight) = self.flights.get_mut(id) {
-            flight.place = Place::Here;
-            flight.unreached = 0;
+    pub(crate) fn redispatch(&mut self, id: InFlightId) {
+        if let Some(request) = self.in_flight.get_mut(id) {
+            request.state = InFlightState::Dispatching;
+            request.connect_failures = 0;
         }
         self.dispatch(id);
     }
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,22 +1,23 @@
-//! Names of the header fields that a deployment gives its own names.
+//! Header field names that depend on the deployment.
 
-/// Header fields that a gateway reads or sets, by their name in the deployment.
+/// Names, in this deployment, of the header fields that a gateway reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Id of one attempt of a client, echoed in answers.
+    /// Id of one attempt of a client, echoed in responses.
     pub request_id: &'static str,
-    /// Milliseconds that the sender will wait.
+    /// Milliseconds that the sender waits for the response.
     pub deadline_ms: &'static str,
-    /// Proof that an answer comes from a server.
+    /// Proof that a response comes from a server.
     pub signature: &'static str,
-    /// Identity of the only server that may run the request.
+    /// Identity of the only server instance that may execute the request.
     pub expected_instance: &'static str,
-    /// Set in an answer by a server that did not run the request.
+    /// Set in a response by a server that did not execute the request.
     pub not_executed: &'static str,
-    /// Requests a second that the answering server takes from all gateways together, in an answer of a server in need.
+    /// Requests per second that the responding server accepts from all gateways together; sent by a server
+    /// that is short of capacity.
     pub stated_rate: &'static str,
-    /// Set to 1 in every answer of a server that is about to end.
+    /// Set to 1 in every response of a server that is about to shut down.
     pub leaving: &'static str,
-    /// Key of a request to a sharded service, 0 to 65,535.
+    /// Key of a request to a sharded service, from 0 to 65,535.
     pub shard_key: &'static str,
 }
--- a/crates/gateway/src/housekeeping.rs
+++ b/crates/gateway/src/housekeeping.rs
@@ -1,5 +1,4 @@
-//! What the passing of time asks of a gateway: the stop, the directory's links, connections that rested too long,
-//! changed settings.
+//! Periodic tasks of a gateway: shutdown, directory links, idle connections and settings reloads.
 
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -8,50 +7,50 @@
 use grebepin_catalog::InstanceId;
 use grebepin_telemetry::{event, Event};
 
-use crate::follow::{Directory, HeldState, News};
-use crate::server::Server;
+use crate::event_loop::EventLoop;
+use crate::follow::{AppliedState, DirectoryClient, ReportContent};
 use crate::settings::GatewaySettings;
 use crate::stopping::Stopping;
 
-/// Time between two looks at the settings file.
-pub(crate) const SETTINGS_LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which the settings file is checked for changes.
+pub(crate) const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bounds on clients until the configuration tells them.
+/// Client timeouts until the first configuration arrives.
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-impl Server {
-    /// What the passing of time asks for.
+impl EventLoop {
+    /// Runs the periodic tasks that are due.
     pub(crate) fn do_housekeeping(&mut self) {
         let now = self.now();
-        if self.stop.load(Ordering::Relaxed) && self.stopping.is_none() {
+        if self.stop_requested.load(Ordering::Relaxed) && self.stopping.is_none() {
             self.stopping = Some(Stopping::new(now, self.settings.grace()));
-            event!(Event::StopRequested, flights = self.flights.len());
-            self.tell_readiness();
+            event!(Event::StopRequested, flights = self.in_flight.len());
+            self.log_readiness();
         }
         if now < self.next_housekeeping {
             return;
         }
-        let held = HeldState {
+        let state = AppliedState {
             applied: self.table.applied(),
             is_configured: self.table.is_configured(),
         };
-        self.next_housekeeping = now + Directory::tick_pause(held.is_configured);
+        self.next_housekeeping = now + DirectoryClient::tick_interval(state.is_configured);
         let registry = self.poll.registry();
-        let news = News {
+        let content = ReportContent {
             load: &mut self.load,
             crashes: &mut self.crashes,
         };
         self.directory
-            .tick(now, registry, &mut self.next_token, news, held);
+            .tick(now, registry, &mut self.next_token, content, state);
         self.close_expired_connections(now);
-        self.close_resting_clients(now);
+        self.close_idle_clients(now);
         if let Some(relay) = &mut self.relay {
-            relay.close_resting(now);
+            relay.drop_silent(now);
         }
-        if now >= self.next_settings_look || self.reload.swap(false, Ordering::Relaxed) {
-            self.next_settings_look = now + SETTINGS_LOOK_EVERY;
-            self.look_at_settings();
+        if now >= self.next_settings_check || self.reload_requested.swap(false, Ordering::Relaxed) {
+            self.next_settings_check = now + SETTINGS_CHECK_INTERVAL;
+            self.check_settings();
         }
     }
 
@@ -69,7 +68,7 @@
         }
     }
 
-    fn close_resting_clients(&mut self, now: Duration) {
+    fn close_idle_clients(&mut self, now: Duration) {
         let limits = self.table.limits();
         let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
         let header = limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.header_timeout);
@@ -77,25 +76,25 @@
             .stopping
             .is_some_and(|stopping| stopping.closes_idle(now));
         self.clients.retain(|_, client| {
-            let rested = client.is_idle() && (ends_idle || now > client.rested_since + idle);
-            let stalled = client.flight.is_none()
+            let is_expired = client.is_idle() && (ends_idle || now > client.idle_since + idle);
+            let stalled = client.request.is_none()
                 && client
-                    .request_began
-                    .is_some_and(|began| now > began + header * 4);
-            !rested && !stalled
+                    .request_started
+                    .is_some_and(|started| now > started + header * 4);
+            !is_expired && !stalled
         });
-        self.ready.close_resting(now);
+        self.readiness_server.close_resting(now);
         if let Some(metrics) = &mut self.metrics_server {
             metrics.close_resting(now);
         }
     }
 
-    fn look_at_settings(&mut self) {
-        let changed = changed_at(&self.settings_path);
-        if changed == self.settings_changed {
+    fn check_settings(&mut self) {
+        let changed = modified_at(&self.settings_path);
+        if changed == self.settings_modified {
             return;
         }
-        self.settings_changed = changed;
+        self.settings_modified = changed;
         match GatewaySettings::load(&self.settings_path) {
             Ok(settings) => {
                 self.directory.set_seeds(&settings.seed_links());
@@ -107,8 +106,8 @@
     }
 }
 
-/// When a file was last changed; `None` when that can't be told.
-pub(crate) fn changed_at(path: &Path) -> Option<SystemTime> {
+/// Modification time of a file; `None` when it can't be read.
+pub(crate) fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path)
         .and_then(|data| data.modified())
         .ok()
--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/http_writer.rs
@@ -1,4 +1,4 @@
-//! Bytes of answers and of requests to servers.
+//! Serialization of HTTP/1.1 responses to clients and of requests to servers.
 
 use std::io::Write as _;
 use std::time::Duration;
@@ -7,19 +7,20 @@
 
 use crate::headers::HeaderNames;
 
-/// An answer of the gateway's own.
+/// A response that the gateway generates itself, without a body.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OwnAnswer {
-    /// Status.
+pub struct LocalResponse {
+    /// HTTP status code.
     pub status: u16,
-    /// When the client may come back, for a request that did not run.
+    /// Time after which the client may retry a request that was not executed; sent as `Retry-After`.
     pub retry_after: Option<Duration>,
-    /// Whether the connection ends with it.
+    /// Whether the connection is closed after the response.
     pub closes: bool,
 }
 
-impl OwnAnswer {
-    /// The request did not run and never will; its client may come back after a time, where there is one.
+impl LocalResponse {
+    /// A 503 response for a request that was not executed and never will be; without `retry_after` a retry
+    /// has no better chance.
     pub fn not_run(retry_after: Option<Duration>) -> Self {
         Self {
             status: 503,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// An answer without a time to come back.
+    /// A response without `Retry-After` that keeps the connection open.
     pub fn status(status: u16) -> Self {
         Self {
             status,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The same, ending the connection.
+    /// The same response, after which the connection is closed.
     pub fn closing(self) -> Self {
         Self {
             closes: true,
@@ -46,21 +47,26 @@
     }
 }
 
-/// Writes an answer of the gateway's own.
-pub fn write_own(out: &mut Vec<u8>, answer: OwnAnswer, request_id: &str, names: &HeaderNames) {
-    let reason = reason_phrase(answer.status);
-    let _ = write!(out, "HTTP/1.1 {} {reason}\r\n", answer.status);
+/// Writes a response of the gateway's own. An empty `request_id` is left out.
+pub fn write_local_response(
+    out: &mut Vec<u8>,
+    response: LocalResponse,
+    request_id: &str,
+    names: &HeaderNames,
+) {
+    let reason = reason_phrase(response.status);
+    let _ = write!(out, "HTTP/1.1 {} {reason}\r\n", response.status);
     if !request_id.is_empty() {
         let _ = write!(out, "{}: {request_id}\r\n", names.request_id);
     }
-    if let Some(after) = answer.retry_after {
+    if let Some(after) = response.retry_after {
         let _ = write!(out, "Retry-After: {:.3}\r\n", after.as_secs_f64());
     }
-    let connection = connection_value(answer.closes);
+    let connection = connection_value(response.closes);
     let _ = write!(out, "Content-Length: 0\r\nConnection: {connection}\r\n\r\n");
 }
 
-/// Writes a server's answer.
+/// Writes a server's response, without its hop-by-hop header fields.
 pub fn write_response(out: &mut Vec<u8>, response: &Response, closes: bool) {
     let reason = reason_phrase(response.status);
     out.reserve(response.body.len() + 512);
@@ -74,7 +80,8 @@
     out.extend_from_slice(&response.body);
 }
 
-/// Writes a request to a server.
+/// Writes a request to a server. The deadline and the expected instance replace the client's own header
+/// fields of these names.
 pub fn write_request(
     out: &mut Vec<u8>,
     request: &Request,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,15 +1,16 @@
-//! The gateway: takes clients' requests, finds the server that may run each, and answers.
+//! The gateway: accepts client requests, selects the server that may execute each one, and returns the
+//! response.
 //!
-//! Everything is served from one thread. `table`, `balance`, `budget`, `cooldowns`, `stated_rate`, `verdict` decide and are pure;
-//! `clients`, `upstreams` and `follow` move bytes; `forwarding`, `sending` and `answering` are the phases of
-//! a request, `housekeeping` is what time asks for, and `server` is the event loop that joins them.
+//! Everything runs on one thread. `table`, `balance`, `budget`, `cooldowns`, `stated_rate` and `verdict` make
+//! decisions and perform no I/O. `clients`, `upstreams` and `follow` own the connections. `forwarding`,
+//! `sending` and `answering` implement the phases of a request, `housekeeping` holds the periodic tasks, and
+//! `event_loop` drives them all.
 //!
-//! Invariants: a request that is not repeatable is sent a second time only after proof that the first
-//! sending did not run; an answer reaches the client only whole, and only if it carries the id of
-//! its request; a request that is given up is answered at once.
+//! Invariants: a request that is not repeatable is sent a second time only after proof that the first attempt
+//! was not executed. A response reaches the client only in full, and only if it carries the id of its
+//! request. A request that is given up is answered at once.
 
 mod answering;
-pub mod answers;
 pub mod backoff;
 pub mod balance;
 pub mod budget;
@@ -18,6 +19,7 @@
 mod crash_check;
 pub mod crash_memory;
 pub mod evacuations;
+mod event_loop;
 pub mod first_source;
 pub mod first_state;
 mod flight;
@@ -26,6 +28,7 @@
 mod hashing;
 mod headers;
 mod housekeeping;
+pub mod http_writer;
 pub mod leaving;
 pub mod limit;
 pub mod link_queue;
@@ -39,7 +42,6 @@
 pub mod relays;
 pub mod replicas;
 mod sending;
-mod server;
 pub mod server_index;
 mod settings;
 pub mod stated_rate;
@@ -58,13 +60,13 @@
 
 use grebepin_directory::SettingsError;
 
-/// Why the process ends.
+/// Why the process terminates with an error.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
-    /// The settings can't be used.
+    /// The settings file can't be read or holds an invalid value.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// A socket can't be opened or polled.
+    /// A socket can't be opened, or polling failed.
     #[error("network: {0}")]
     Network(#[from] std::io::Error),
     /// The metrics can't be registered.
@@ -82,10 +84,10 @@
     }
 }
 
-/// Runs a gateway until it is asked to stop.
+/// Runs a gateway until it receives SIGTERM and has finished its requests.
 ///
 /// # Errors
-/// The settings or the network are of no use.
+/// The settings are invalid, the metrics can't be registered, or a socket can't be opened or polled.
 pub fn run(settings: &Path, headers: HeaderNames) -> Result<(), GatewayError> {
-    server::Server::start(settings, headers)?.run()
+    event_loop::EventLoop::start(settings, headers)?.run()
 }
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -1,5 +1,6 @@
-//! A request to the owner of a key that states a rate: the leader is asked for a permit, since nobody else may serve it
-//! and every place counts. Without an answer this gateway goes by its own turns, see [`crate::stated_rate`].
+//! Permits for requests to the owner of a key that states a rate. The leader is asked for a permit, since no
+//! other server may serve the key and none of the owner's capacity should stay unused. Without an
+//! answer this gateway sends within its own turns, see [`crate::stated_rate`].
 
 use std::time::Duration;
 
@@ -7,24 +8,26 @@
 use grebepin_directory::link::PermitRequest;
 use grebepin_grants::Permit;
 
-use crate::flight::{FlightId, Place};
-use crate::forwarding::WAIT_PART;
+use crate::event_loop::{EventLoop, Timer};
+use crate::flight::{InFlightId, InFlightState};
+use crate::forwarding::MAX_WAIT_FRACTION;
 use crate::refusal::Refusal;
-use crate::server::{Due, Server};
 
-/// Longest wait for an answer: a few round trips between zones.
-const ANSWER_LIMIT: Duration = Duration::from_millis(100);
+/// Longest wait for a permit: a few round trips between zones.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-impl Server {
-    /// Whether a request may not go to a server yet, since that one states a rate.
-    pub(crate) fn lacks_permit(&self, id: FlightId, server: &InstanceId) -> bool {
-        let flight = self.flights.get(id);
-        let is_permitted = flight.is_some_and(|flight| flight.permitted.as_ref() == Some(server));
+impl EventLoop {
+    /// Whether a request may not be sent to a server yet because the server states a rate and no permit was
+    /// given.
+    pub(crate) fn needs_permit(&self, id: InFlightId, server: &InstanceId) -> bool {
+        let request = self.in_flight.get(id);
+        let is_permitted =
+            request.is_some_and(|request| request.permitted_server.as_ref() == Some(server));
         self.stated_rates.rate(server).is_some() && !is_permitted
     }
 
-    /// Asks for a permit to send a request to the owner of its key.
-    pub(crate) fn ask_permit(&mut self, id: FlightId, owner: &Instance) {
+    /// Requests a permit to send a request to the owner of its key.
+    pub(crate) fn request_permit(&mut self, id: InFlightId, owner: &Instance) {
         let now = self.now();
         if let Some(after) = self.stated_rates.refused_for(&owner.id, now) {
             let place_after = Some(after);
@@ -33,40 +36,40 @@
         let Some(stated_rate) = self.stated_rates.rate(&owner.id) else {
             return;
         };
-        let request = PermitRequest {
+        let permit_request = PermitRequest {
             id: id.0,
             server: owner.id.clone(),
             stated_rate,
         };
-        if !self.directory.ask_permit(now, request) {
-            return self.go_by_turns(id, owner);
+        if !self.directory.request_permit(now, permit_request) {
+            return self.dispatch_by_turn(id, owner);
         }
-        let Some(flight) = self.flights.get_mut(id) else {
+        let Some(request) = self.in_flight.get_mut(id) else {
             return;
         };
-        flight.place = Place::AwaitingPermit {
+        request.state = InFlightState::AwaitingPermit {
             server: owner.id.clone(),
         };
-        let until = flight.began + flight.route.target_latency.mul_f64(WAIT_PART);
-        let until = until.min(now + ANSWER_LIMIT);
-        let due = Due::PermitWait(id, flight.sendings);
-        self.deadlines.add(until, due);
+        let until = request.received_at + request.route.target_latency.mul_f64(MAX_WAIT_FRACTION);
+        let until = until.min(now + PERMIT_TIMEOUT);
+        let due = Timer::PermitWait(id, request.attempts);
+        self.timers.add(until, due);
     }
 
-    /// The leader answered, or can't be reached.
-    pub(crate) fn on_permit(&mut self, id: FlightId, permit: Option<Permit>) {
+    /// Handles the leader's answer; `None` when the leader can't be reached or did not answer in time.
+    pub(crate) fn on_permit(&mut self, id: InFlightId, permit: Option<Permit>) {
         let now = self.now();
-        let Some(flight) = self.flights.get_mut(id) else {
+        let Some(request) = self.in_flight.get_mut(id) else {
             return;
         };
-        let Place::AwaitingPermit { server } = &flight.place else {
+        let InFlightState::AwaitingPermit { server } = &request.state else {
             return;
         };
         let server = server.clone();
-        flight.place = Place::Here;
+        request.state = InFlightState::Dispatching;
         match permit {
             Some(Permit::Given) => {
-                flight.permitted = Some(server);
+                request.permitted_server = Some(server);
                 self.dispatch(id);
             }
             Some(Permit::Refused { after }) => {
@@ -75,38 +78,41 @@
                 let place_after = Some(after);
                 self.refuse(id, Refusal::RateSpent { place_after });
             }
-            None => self.go_on_without_permit(id, &server),
+            None => self.proceed_without_permit(id, &server),
         }
     }
 
-    /// The wait for the leader's answer is over.
-    pub(crate) fn end_permit_wait(&mut self, id: FlightId, sendings: u32) {
-        let Some(flight) = self.flights.get(id) else {
+    /// The longest wait for a permit is over.
+    pub(crate) fn end_permit_wait(&mut self, id: InFlightId, attempts: u32) {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        if flight.sendings == sendings && matches!(flight.place, Place::AwaitingPermit { .. }) {
+        if request.attempts == attempts
+            && matches!(request.state, InFlightState::AwaitingPermit { .. })
+        {
             self.on_permit(id, None);
         }
     }
 
-    fn go_on_without_permit(&mut self, id: FlightId, server: &InstanceId) {
+    fn proceed_without_permit(&mut self, id: InFlightId, server: &InstanceId) {
         match self.table.instance(server).cloned() {
-            Some(owner) => self.go_by_turns(id, &owner),
+            Some(owner) => self.dispatch_by_turn(id, &owner),
             None => self.dispatch(id),
         }
     }
 
-    /// Sends a request to the owner of its key if this gateway's own turn there is open.
-    fn go_by_turns(&mut self, id: FlightId, owner: &Instance) {
+    /// Sends a request to the owner of its key if this gateway's turn there is open, and refuses it
+    /// otherwise.
+    fn dispatch_by_turn(&mut self, id: InFlightId, owner: &Instance) {
         let now = self.now();
-        let gateways = self.known_gateways();
+        let gateways = self.gateway_count();
         if !self.stated_rates.is_open(&owner.id, now, gateways) {
             self.load.note_crowd();
             let place_after = self.stated_rates.place_after(&owner.id);
             return self.refuse(id, Refusal::RateSpent { place_after });
         }
-        if let Some(flight) = self.flights.get_mut(id) {
-            flight.permitted = Some(owner.id.clone());
+        if let Some(request) = self.in_flight.get_mut(id) {
+            request.permitted_server = Some(owner.id.clone());
         }
         self.dispatch(id);
     }
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -1,104 +1,109 @@
-//! Which server of a pooled service gets a request: one that takes requests, has room, and does not leave.
+//! Selection of a server for requests to a pooled service. A server is eligible if it accepts requests and
+//! has capacity; one that drains is used only when no other is available.
 
 use std::time::Duration;
 
 use grebepin_catalog::{Instance, InstanceId};
 use rand::Rng;
 
-use crate::flight::FlightId;
+use crate::event_loop::EventLoop;
+use crate::flight::InFlightId;
 use crate::refusal::Refusal;
-use crate::server::Server;
 use crate::table::Table;
 use crate::warmup::WarmupTurns;
 
-/// Where a request goes that any server of its service may run.
-enum Placement {
-    /// To this server.
-    At(Instance),
-    /// Nowhere: it can't be served now.
-    Refused(Refusal),
-    /// It waits for room, which a pause keeps from it until then at least, where that is known.
-    Waits { opens_at: Option<Duration> },
+/// Result of the server selection for a request to a pooled service.
+enum Selection {
+    /// The request is sent to this server.
+    Send(Instance),
+    /// No server can execute the request now.
+    Refuse(Refusal),
+    /// The request waits for capacity. `opens_at` is when a pause that closes a server ends; `None` if that
+    /// is not known.
+    Wait { opens_at: Option<Duration> },
 }
 
-impl Server {
-    pub(crate) fn dispatch_to_pool(&mut self, id: FlightId) {
-        match self.placement(id) {
-            Some(Placement::At(server)) => self.send(id, &server),
-            Some(Placement::Refused(refusal)) => self.refuse(id, refusal),
-            Some(Placement::Waits { opens_at }) => self.await_room(id, opens_at),
+impl EventLoop {
+    pub(crate) fn dispatch_to_pool(&mut self, id: InFlightId) {
+        match self.select_server(id) {
+            Some(Selection::Send(server)) => self.send(id, &server),
+            Some(Selection::Refuse(refusal)) => self.refuse(id, refusal),
+            Some(Selection::Wait { opens_at }) => self.wait_for_capacity(id, opens_at),
             None => {}
         }
     }
 
-    /// Where a request goes that any server of its service may run; `None` when it has ended.
-    fn placement(&mut self, id: FlightId) -> Option<Placement> {
+    /// Selects a server for a request to a pooled service; `None` when the request has ended.
+    fn select_server(&mut self, id: InFlightId) -> Option<Selection> {
         let now = self.now();
-        let gateways = self.known_gateways();
-        let flight = self.flights.get(id)?;
+        let gateways = self.gateway_count();
+        let request = self.in_flight.get(id)?;
         let (table, warmup, rates) = (&self.table, &self.warmup, &self.stated_rates);
         let cooldowns = &self.cooldowns;
-        let servers = table.usable_servers(&flight.service);
+        let servers = table.usable_servers(&request.service);
         let leaving = &self.leaving;
         let servers = servers.filter(|server| leaving.is_usable(&server.id, now));
-        let untried = servers.filter(|server| !flight.tried.contains(&server.id));
-        let able = untried
+        let untried = servers.filter(|server| !request.tried_servers.contains(&server.id));
+        let available = untried
             .clone()
             .filter(|server| cooldowns.left(&server.id, now).is_none())
-            .filter(|server| is_turn(table, warmup, server, gateways, now))
+            .filter(|server| warmup_allows(table, warmup, server, gateways, now))
             .filter(|server| rates.is_open(&server.id, now, gateways));
         let zone = self.settings.zone.as_str();
         let random = &mut self.random;
         let mut random = || random.random::<f64>();
-        let staying = able.clone().filter(|server| !leaving.leaves(&server.id));
+        let staying = available
+            .clone()
+            .filter(|server| !leaving.leaves(&server.id));
         let chosen = self.balance.choose(staying, zone, now, &mut random);
         let chosen = chosen.or_else(|| {
-            let able = able.clone();
-            self.balance.choose(able, zone, now, &mut random)
+            let available = available.clone();
+            self.balance.choose(available, zone, now, &mut random)
         });
         if let Some(server) = chosen {
-            return Some(Placement::At(server.clone()));
+            return Some(Selection::Send(server.clone()));
         }
         if untried.clone().next().is_none() {
-            return Some(Placement::Refused(Refusal::NoServer));
+            return Some(Selection::Refuse(Refusal::NoServer));
         }
-        let is_none_able = able.clone().next().is_none();
-        let opens_at = able.filter_map(|server| self.balance.opens_at(&server.id, now));
+        let none_available = available.clone().next().is_none();
+        let opens_at = available.filter_map(|server| self.balance.opens_at(&server.id, now));
         let opens_at = opens_at.min();
-        if !is_none_able {
-            return Some(Placement::Waits { opens_at });
+        if !none_available {
+            return Some(Selection::Wait { opens_at });
         }
         let place_after = untried.clone().filter_map(|one| rates.place_after(&one.id));
         let place_after = place_after.min();
         let left = untried.filter_map(|one| Some((cooldowns.left(&one.id, now)?, &one.id)));
         let first_back = left.min().map(|(_, id)| id.clone());
-        Some(self.placement_later(id, first_back.as_ref(), place_after))
+        Some(self.select_without_available(id, first_back.as_ref(), place_after))
     }
 
-    /// What becomes of a request that no server takes now: `first_back` is the first to take requests again of those that
-    /// asked for none, and one that states a rate has a place after `place_after`, where there are such servers.
-    fn placement_later(
+    /// Decides about a request that no server accepts now. `first_back` is the cooling server whose cooldown
+    /// ends first, and `place_after` the shortest time after which a server that states a rate has capacity;
+    /// each is `None` where there is no such server.
+    fn select_without_available(
         &mut self,
-        id: FlightId,
+        id: InFlightId,
         first_back: Option<&InstanceId>,
         place_after: Option<Duration>,
-    ) -> Placement {
+    ) -> Selection {
         let now = self.now();
         if place_after.is_some() {
-            return Placement::Refused(Refusal::RateSpent { place_after });
+            return Selection::Refuse(Refusal::RateSpent { place_after });
         }
         let left = first_back.and_then(|server| self.cooldowns.left(server, now));
         let (Some(server), Some(left)) = (first_back, left) else {
-            return Placement::Refused(Refusal::WarmingUp);
+            return Selection::Refuse(Refusal::WarmingUp);
         };
         if self.can_wait(id, left) {
             let opens_at = Some(now + left);
-            return Placement::Waits { opens_at };
+            return Selection::Wait { opens_at };
         }
-        Placement::Refused(self.cooldown_refusal(server))
+        Selection::Refuse(self.cooldown_refusal(server))
     }
 
-    /// Why a request is refused that only a server could run which asked for no requests.
+    /// The refusal of a request that only a cooling server could execute.
     pub(crate) fn cooldown_refusal(&mut self, server: &InstanceId) -> Refusal {
         let now = self.now();
         let back_after = self.cooldowns.back_after(server, now, self.random.random());
@@ -108,8 +113,8 @@
     }
 }
 
-/// Whether a server may get a request of this gateway now, as far as warming up bounds that.
-pub(crate) fn is_turn(
+/// Whether warm-up limits let this gateway send a request to a server now.
+pub(crate) fn warmup_allows(
     table: &Table,
     warmup: &WarmupTurns,
     server: &Instance,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,7 +1,7 @@
-//! Gives the state on to other gateways that a cut keeps from the directory.
+//! Relays the state to gateways that are partitioned from the directory.
 //!
-//! Invariant: only what was taken from the log is given on, with its index, so that a gateway that takes it
-//! from here is where the directory's own words would have brought it.
+//! Invariant: only entries and snapshots taken from the log are relayed, with their index, so that a follower
+//! reaches the same state as it would from the directory itself.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,27 +17,27 @@
 use crate::table::Table;
 
 /// Gateways that are served at a time.
-const FOLLOWER_LIMIT: usize = 8;
+const MAX_FOLLOWERS: usize = 8;
 
-/// Bytes taken in before a frame must be whole.
+/// Bytes that are buffered until a frame is complete.
 const BUFFER_LIMIT: usize = 1 << 20;
 
-/// Bytes that may wait for one gateway; one that takes less is cut off.
+/// Bytes that may be queued for one follower; a follower that reads more slowly is disconnected.
 const UNSENT_LIMIT: usize = 4 << 20;
 
-/// Time without a word after which a gateway counts as gone.
-const SILENCE_LIMIT: Duration = Duration::from_secs(4);
+/// A follower that sends nothing for this long is disconnected.
+const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A gateway that follows this one.
 #[derive(Debug)]
 struct Follower {
     connection: Connection,
-    /// Log index up to which it was fed; `None` before it asked.
-    fed: Option<u64>,
-    heard: Duration,
+    /// Log index up to which the state was sent; `None` before the follower asked for it.
+    sent_index: Option<u64>,
+    last_received: Duration,
 }
 
-/// The gateways that follow this one.
+/// Listener and connections of the gateways that follow this one.
 #[derive(Debug)]
 pub struct Relay {
     listener: TcpListener,
@@ -45,10 +45,10 @@
 }
 
 impl Relay {
-    /// Listens for gateways.
+    /// Listens for followers.
     ///
     /// # Errors
-    /// The address can't be taken.
+    /// The address can't be bound.
     pub fn listen(address: SocketAddr, registry: &Registry, token: Token) -> std::io::Result<Self> {
         let mut listener = TcpListener::bind(address)?;
         registry.register(&mut listener, token, Interest::READABLE)?;
@@ -58,15 +58,15 @@
         })
     }
 
-    /// Whether a token names a gateway that follows.
+    /// Whether a token belongs to a follower's connection.
     pub fn owns(&self, token: Token) -> bool {
         self.followers.contains_key(&token)
     }
 
-    /// Takes in connections; tokens from `next_token` on are free.
+    /// Accepts connections; tokens from `next_token` on are free.
     pub fn accept(&mut self, now: Duration, registry: &Registry, next_token: &mut usize) {
         while let Ok((stream, _)) = self.listener.accept() {
-            if self.followers.len() >= FOLLOWER_LIMIT {
+            if self.followers.len() >= MAX_FOLLOWERS {
                 continue;
             }
             let token = Token(*next_token);
@@ -74,26 +74,27 @@
             let Ok(connection) = Connection::register(stream, registry, token) else {
                 continue;
             };
-            connection.limit_silence(SILENCE_LIMIT);
+            connection.limit_silence(FOLLOWER_TIMEOUT);
             let follower = Follower {
                 connection,
-                fed: None,
-                heard: now,
+                sent_index: None,
+                last_received: now,
             };
             self.followers.insert(token, follower);
         }
     }
 
-    /// Handles what came from a gateway. `is_fed` tells whether the leader speaks to this one.
+    /// Handles an event on a follower's connection. `is_fed` is whether this gateway itself receives the
+    /// leader's log.
     pub fn on_event(&mut self, now: Duration, token: Token, table: &Table, is_fed: bool) {
         let Some(follower) = self.followers.get_mut(&token) else {
             return;
         };
-        follower.heard = now;
+        follower.last_received = now;
         let is_open = match follower.take_frames() {
             Ok(frames) => frames
                 .into_iter()
-                .all(|frame| follower.answer(frame, table, is_fed)),
+                .all(|frame| follower.on_frame(frame, table, is_fed)),
             Err(_) => false,
         };
         if !is_open {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Gives entries on that were just applied.
+    /// Sends entries that were just applied to all followers.
     pub fn feed(&mut self, entries: &[(u64, Entry)], table: &Table) {
         if self.followers.is_empty() {
             return;
@@ -110,10 +111,10 @@
             .retain(|_, follower| follower.feed(entries, table));
     }
 
-    /// Drops gateways that are silent.
-    pub fn close_resting(&mut self, now: Duration) {
+    /// Disconnects followers that have been silent for too long.
+    pub fn drop_silent(&mut self, now: Duration) {
         self.followers
-            .retain(|_, follower| now <= follower.heard + SILENCE_LIMIT);
+            .retain(|_, follower| now <= follower.last_received + FOLLOWER_TIMEOUT);
     }
 }
 
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Answers a frame; whether the connection is still of use.
-    fn answer(&mut self, frame: ToReplica, table: &Table, is_fed: bool) -> bool {
+    /// Handles a frame; returns whether the connection is still usable.
+    fn on_frame(&mut self, frame: ToReplica, table: &Table, is_fed: bool) -> bool {
         match frame {
             ToReplica::Follow(follow) => {
                 event!(
@@ -141,8 +142,8 @@
                     follower_applied = follow.applied,
                     applied = table.applied()
                 );
-                self.fed = Some(follow.applied);
-                self.send_head(table, is_fed) && self.send_whole(table)
+                self.sent_index = Some(follow.applied);
+                self.send_head(table, is_fed) && self.send_snapshot(table)
             }
             ToReplica::Report(_) => self.send_head(table, is_fed),
             ToReplica::Peer(_)
@@ -162,33 +163,37 @@
         self.send(&FromReplica::Head(head))
     }
 
-    /// Sends the whole state to a gateway that lacks something.
-    fn send_whole(&mut self, table: &Table) -> bool {
-        if self.fed.is_none_or(|fed| fed >= table.applied()) {
+    /// Sends a snapshot to a follower that lacks entries; returns whether the connection is still usable.
+    fn send_snapshot(&mut self, table: &Table) -> bool {
+        if self
+            .sent_index
+            .is_none_or(|sent_index| sent_index >= table.applied())
+        {
             return true;
         }
         let Ok(state) = table.whole_state() else {
             return false;
         };
         let index = table.applied();
-        self.fed = Some(index);
+        self.sent_index = Some(index);
         self.send(&FromReplica::Whole { index, state })
     }
 
-    /// Sends entries that were just applied, or the whole state after a gap.
+    /// Sends entries that were just applied, or a snapshot after a gap; returns whether the connection is
+    /// still usable.
     fn feed(&mut self, entries: &[(u64, Entry)], table: &Table) -> bool {
-        let Some(fed) = self.fed else {
+        let Some(sent_index) = self.sent_index else {
             return true;
         };
-        let news = entries.iter().filter(|(index, _)| *index > fed);
-        let news: Vec<(u64, Entry)> = news.cloned().collect();
-        match news.first() {
+        let new_entries = entries.iter().filter(|(index, _)| *index > sent_index);
+        let new_entries: Vec<(u64, Entry)> = new_entries.cloned().collect();
+        match new_entries.first() {
             None => true,
-            Some((first, _)) if *first == fed + 1 => {
-                self.fed = Some(table.applied());
-                self.send(&FromReplica::Entries(news))
+            Some((first, _)) if *first == sent_index + 1 => {
+                self.sent_index = Some(table.applied());
+                self.send(&FromReplica::Entries(new_entries))
             }
-            Some(_) => self.send_whole(table),
+            Some(_) => self.send_snapshot(table),
         }
     }
 
--- a/crates/gateway/src/sending.rs
+++ b/crates/gateway/src/sending.rs
@@ -1,4 +1,4 @@
-//! A request at a server: connected, written, answered or broken off.
+//! Connections to servers: connecting, sending a request, and reading the response or handling a failure.
 
 use std::time::Duration;
 
@@ -8,63 +8,64 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use crate::answers::write_request;
 use crate::crash_memory::fingerprint;
-use crate::flight::{FlightId, Place};
+use crate::event_loop::{EventLoop, Timer};
+use crate::flight::{InFlightId, InFlightState};
+use crate::http_writer::write_request;
 use crate::refusal::Refusal;
-use crate::server::{Due, Server};
 use crate::upstreams::Upstream;
 use crate::verdict::{belongs, judge, Verdict};
 
-/// Time a connection to a server may take to come up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+/// Timeout for establishing a connection to a server.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for which bytes to a server may stay unacknowledged.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout after which a connection with unacknowledged bytes fails.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Connections that may fail to come up for one request.
-const UNREACHED_LIMIT: u32 = 3;
+/// Connections that may fail for one request before it is refused.
+const MAX_CONNECT_FAILURES: u32 = 3;
 
-/// Largest answer that is held, in bytes.
-const ANSWER_LIMIT: u64 = 64 << 20;
+/// Largest response that is buffered, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Bytes of an answer taken in at once.
-const ANSWER_BUFFER: usize = 1 << 20;
+/// Bytes of a response that are read at once.
+const READ_LIMIT: usize = 1 << 20;
 
-/// When the request of a surplus answer was sent: it is not known, so the answer ends nothing that was stated since.
-const SENT_LONG_AGO: Duration = Duration::ZERO;
+/// Send time assumed for a response that belongs to no request here. The real time is unknown, so the
+/// response overrides nothing that the server stated since.
+const UNKNOWN_SEND_TIME: Duration = Duration::ZERO;
 
-/// Part of the connections of a server that all gateways together may use.
-const CONNECTION_PART: f64 = 0.8;
+/// Fraction of a server's connections that all gateways together may use.
+const CONNECTION_SHARE: f64 = 0.8;
 
-/// Fewest connections that one gateway may make to a server.
-const LEAST_CONNECTIONS: u32 = 2;
+/// Fewest connections that one gateway may open to a server.
+const MIN_CONNECTIONS: u32 = 2;
 
-impl Server {
-    /// Puts a request on a connection to a server.
-    pub(crate) fn send(&mut self, id: FlightId, server: &Instance) {
+impl EventLoop {
+    /// Assigns a request to an idle or new connection to a server.
+    pub(crate) fn send(&mut self, id: InFlightId, server: &Instance) {
         let now = self.now();
-        let resting = self.upstreams.take_resting(&server.id, now);
-        let token = match resting {
+        let idle = self.upstreams.take_idle(&server.id, now);
+        let token = match idle {
             Some(token) => token,
             None => match self.connect(server, now) {
                 Some(token) => token,
                 None => return self.refuse(id, Refusal::NoConnection),
             },
         };
-        let Some(flight) = self.flights.get_mut(id) else {
+        let Some(request) = self.in_flight.get_mut(id) else {
             return;
         };
-        flight.sendings += 1;
-        flight.tried.push(server.id.clone());
-        flight.place = Place::At {
+        request.attempts += 1;
+        request.tried_servers.push(server.id.clone());
+        request.state = InFlightState::Assigned {
             connection: token,
             server: server.id.clone(),
             since: now,
         };
         self.balance.begin(&server.id);
         if server.is_cold {
-            self.use_turn(server, now);
+            self.use_warmup_turn(server, now);
         }
         let gateways = self.budgets.gateways();
         if self.stated_rates.note_sent(&server.id, now, gateways) {
@@ -76,14 +77,14 @@
         let Some(upstream) = self.upstreams.get_mut(token) else {
             return;
         };
-        upstream.flight = Some(id);
+        upstream.request = Some(id);
         if upstream.connected {
             self.write_request(token);
         }
     }
 
-    /// Uses up this gateway's present turn at a server that warms up.
-    fn use_turn(&mut self, server: &Instance, now: Duration) {
+    /// Uses up this gateway's current turn at a server that warms up.
+    fn use_warmup_turn(&mut self, server: &Instance, now: Duration) {
         if let Some(rate) = self.table.warmup_rate(&server.service) {
             let gateways = self.budgets.gateways();
             self.warmup.note_sent(&server.id, now, rate, gateways);
@@ -96,68 +97,69 @@
             return None;
         }
         let address = server.address.parse().ok()?;
-        let token = self.fresh_token();
+        let token = self.allocate_token();
         let connection =
             Connection::connect(address, self.settings.bind_ip, self.poll.registry(), token)
                 .ok()?;
-        connection.limit_silence(SILENCE_LIMIT);
+        connection.limit_silence(UNACKED_TIMEOUT);
         self.balance.connection_opened(server);
         let upstream = Upstream {
             connection,
             server: server.id.clone(),
             connected: false,
             reused: false,
-            flight: None,
-            shows_crash_by: None,
+            request: None,
+            crash_probe: None,
             reader: ResponseReader::default(),
-            rested_since: now,
-            rest_limit: CONNECT_LIMIT,
+            idle_since: now,
+            idle_timeout: CONNECT_TIMEOUT,
         };
         self.upstreams.add(token, upstream);
-        self.deadlines
-            .add(now + CONNECT_LIMIT, Due::Connect(token.0));
+        self.timers
+            .add(now + CONNECT_TIMEOUT, Timer::ConnectTimeout(token.0));
         Some(token)
     }
 
-    /// Connections that this gateway may make to one server: its part of what the server takes.
+    /// Connections that this gateway may open to one server of a service: its share of the server's limit,
+    /// and at least [`MIN_CONNECTIONS`].
     pub(crate) fn connection_limit(&self, service: &str) -> u32 {
         let all = self.table.maximum_connections(service).unwrap_or(u32::MAX);
-        let part = f64::from(all) * CONNECTION_PART / f64::from(self.budgets.gateways());
-        (part as u32).max(LEAST_CONNECTIONS)
+        let share = f64::from(all) * CONNECTION_SHARE / f64::from(self.budgets.gateways());
+        (share as u32).max(MIN_CONNECTIONS)
     }
 
-    /// Writes the request of a connection that is up.
+    /// Writes the request that is assigned to an established connection.
     pub(crate) fn write_request(&mut self, token: Token) {
         let now = self.now();
         let names = self.names;
         let Some(upstream) = self.upstreams.get_mut(token) else {
             return;
         };
-        let Some(flight) = upstream.flight.and_then(|id| self.flights.get(id)) else {
+        let Some(request) = upstream.request.and_then(|id| self.in_flight.get(id)) else {
             return;
         };
-        let left = flight.expires.saturating_sub(now);
+        let left = request.expires.saturating_sub(now);
         let out = upstream.connection.outbound();
-        write_request(out, &flight.request, &names, left, upstream.server.name());
-        let wanted = upstream.connection.unsent();
+        write_request(out, &request.message, &names, left, upstream.server.name());
+        let unsent = upstream.connection.unsent();
         if upstream.connection.flush().is_ok() {
             return;
         }
-        match upstream.connection.unsent() == wanted {
-            true => self.fail_to_connect(token),
-            false => self.break_off(token, "connection broke while the request was sent"),
+        match upstream.connection.unsent() == unsent {
+            true => self.on_connect_failure(token),
+            false => self.fail_connection(token, "connection broke while the request was sent"),
         }
     }
 
-    /// A connection to a server did not come up in time.
-    pub(crate) fn give_up_connecting(&mut self, token: Token) {
+    /// Handles the timeout of a connection attempt.
+    pub(crate) fn on_connect_timeout(&mut self, token: Token) {
         if self.upstreams.get(token).is_some_and(|one| !one.connected) {
-            self.fail_to_connect(token);
+            self.on_connect_failure(token);
         }
     }
 
-    /// Nothing was sent on the connection: its request goes elsewhere.
-    pub(crate) fn fail_to_connect(&mut self, token: Token) {
+    /// Drops a connection on which nothing was sent, and dispatches its request again.
+    pub(crate) fn on_connect_failure(&mut self, token: Token) {
         let now = self.now();
         let Some(upstream) = self.drop_upstream(token) else {
             return;
@@ -171,25 +173,25 @@
             reason = "no connection",
             pause_ms = pause.as_millis()
         );
-        let Some(id) = upstream.flight else {
+        let Some(id) = upstream.request else {
             return;
         };
-        if self.leave_server(id).is_none() {
+        if self.end_attempt(id).is_none() {
             return;
         }
-        let Some(flight) = self.flights.get_mut(id) else {
+        let Some(request) = self.in_flight.get_mut(id) else {
             return;
         };
-        flight.sendings -= 1;
-        flight.unreached += 1;
-        flight.place = Place::Here;
-        match flight.unreached > UNREACHED_LIMIT {
+        request.attempts -= 1;
+        request.connect_failures += 1;
+        request.state = InFlightState::Dispatching;
+        match request.connect_failures > MAX_CONNECT_FAILURES {
             true => self.refuse(id, Refusal::OutOfReach),
             false => self.dispatch(id),
         }
     }
 
-    /// Something came from a server, or can be sent to it.
+    /// Handles an event on a connection to a server.
     pub(crate) fn on_upstream(&mut self, token: Token) {
         let now = self.now();
         let Some(upstream) = self.upstreams.get_mut(token) else {
@@ -199,13 +201,13 @@
             match upstream.connection.check_connected() {
                 Ok(false) => return,
                 Err(_) => {
-                    self.note_refused_connection(token);
-                    return self.fail_to_connect(token);
+                    self.record_probed_crash(token);
+                    return self.on_connect_failure(token);
                 }
                 Ok(true) => {
                     upstream.connected = true;
-                    match upstream.shows_crash_by.take() {
-                        Some(_) => self.upstreams.rest_unused(token, now),
+                    match upstream.crash_probe.take() {
+                        Some(_) => self.upstreams.release_unused(token, now),
                         None => self.write_request(token),
                     }
                 }
@@ -214,115 +216,115 @@
         let Some(upstream) = self.upstreams.get_mut(token) else {
             return;
         };
-        let outcome = upstream.connection.fill(ANSWER_BUFFER);
+        let outcome = upstream.connection.fill(READ_LIMIT);
         if upstream.connection.flush().is_err() {
-            return self.break_off(token, "connection broke");
+            return self.fail_connection(token, "connection broke");
         }
-        let Some(id) = upstream.flight else {
-            // Bytes or an end on a connection at rest: it is of no further use.
+        let Some(id) = upstream.request else {
+            // Bytes or a close on an idle connection make it unusable.
             let is_quiet = upstream.connection.inbound.is_empty();
             if !is_quiet || !matches!(outcome, Ok(ReadOutcome::Open)) {
                 self.drop_upstream(token);
             }
             return;
         };
-        self.read_answer(token, id, outcome);
+        self.read_response(token, id, outcome);
     }
 
-    /// Takes the answer out of what came from a server.
-    pub(crate) fn read_answer(
+    /// Parses the response out of the bytes that were received.
+    pub(crate) fn read_response(
         &mut self,
         token: Token,
-        id: FlightId,
+        id: InFlightId,
         outcome: std::io::Result<ReadOutcome>,
     ) {
         let names = self.names;
         loop {
-            let (Some(upstream), Some(flight)) =
-                (self.upstreams.get_mut(token), self.flights.get(id))
+            let (Some(upstream), Some(request)) =
+                (self.upstreams.get_mut(token), self.in_flight.get(id))
             else {
                 return;
             };
-            let has_body = flight.request.method != "HEAD";
+            let has_body = request.message.method != "HEAD";
             let inbound = &mut upstream.connection.inbound;
-            let mut taken = upstream.reader.take(inbound, has_body, ANSWER_LIMIT);
+            let mut taken = upstream.reader.take(inbound, has_body, MAX_RESPONSE_BYTES);
             if matches!((&taken, &outcome), (Ok(None), Ok(ReadOutcome::Closed))) {
                 taken = upstream.reader.end(&upstream.connection.inbound);
             }
             match (taken, &outcome) {
-                (Ok(Some(response)), _) if belongs(&response, &flight.request_id, &names) => {
-                    return self.on_answer(token, id, response);
+                (Ok(Some(response)), _) if belongs(&response, &request.request_id, &names) => {
+                    return self.on_response(token, id, response);
                 }
                 (Ok(Some(response)), _) => {
                     self.metrics.foreign_answers.inc();
                     event!(
                         Event::AnswerForeign,
-                        id = flight.request_id,
+                        id = request.request_id,
                         instance = upstream.server
                     );
                     let server = upstream.server.clone();
-                    self.note_statement(&server, SENT_LONG_AGO, &response);
+                    self.apply_statement(&server, UNKNOWN_SEND_TIME, &response);
                 }
                 (Ok(None), Ok(ReadOutcome::Full)) => {
-                    // The buffer was drained into the answer: take what else waits.
+                    // The buffer was drained into the response, so more bytes may be waiting.
                     return self.on_upstream(token);
                 }
                 (Ok(None), Ok(ReadOutcome::Open)) => return,
                 (Ok(None), Ok(ReadOutcome::Closed)) => {
-                    return self.break_off(token, "server closed without an answer");
+                    return self.fail_connection(token, "server closed without an answer");
                 }
-                (Ok(None), Err(_)) => return self.break_off(token, "connection broke"),
-                (Err(error), _) => return self.break_off(token, &error.to_string()),
+                (Ok(None), Err(_)) => return self.fail_connection(token, "connection broke"),
+                (Err(error), _) => return self.fail_connection(token, &error.to_string()),
             }
         }
     }
 
-    /// A server answered.
-    pub(crate) fn on_answer(&mut self, token: Token, id: FlightId, response: Response) {
+    /// Handles a complete response.
+    pub(crate) fn on_response(&mut self, token: Token, id: InFlightId, response: Response) {
         let now = self.now();
         let names = self.names;
-        let Some((server, since)) = self.leave_server(id) else {
+        let Some((server, since)) = self.end_attempt(id) else {
             return;
         };
-        self.note_statement(&server, since, &response);
-        let Some(flight) = self.flights.get(id) else {
+        self.apply_statement(&server, since, &response);
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
         self.link_queue
-            .note_answer(&flight.service, response.body.len());
+            .note_answer(&request.service, response.body.len());
         if !self.crashes.is_empty() && response.fields.get(names.signature).is_some() {
-            self.crashes.clear(fingerprint(&flight.request, &names));
+            self.crashes.clear(fingerprint(&request.message, &names));
         }
         let verdict = judge(&response, &names);
-        self.learn_from_answer(id, verdict, &server, since);
+        self.record_outcome(id, verdict, &server, since);
         let reusable = self
             .upstreams
             .get(token)
             .is_some_and(|upstream| response.keeps_alive && upstream.connection.inbound.is_empty());
         match reusable {
-            true => self.upstreams.rest(token, now, &response.fields),
+            true => self.upstreams.release(token, now, &response.fields),
             false => _ = self.drop_upstream(token),
         }
         match verdict {
-            Verdict::Final => self.pass_on(id, &response),
-            _ => self.decide(id, verdict, Some(response), &server),
+            Verdict::Final => self.forward_response(id, &response),
+            _ => self.retry_or_answer(id, verdict, Some(response), &server),
         }
     }
 
-    /// Takes in how a server deals with requests, from an answer to one that was sent at `since`.
-    fn learn_from_answer(
+    /// Updates what is known of a server from the response to a request that was sent at `since`.
+    fn record_outcome(
         &mut self,
-        id: FlightId,
+        id: InFlightId,
         verdict: Verdict,
         server: &InstanceId,
         since: Duration,
     ) {
         let now = self.now();
-        let Some(flight) = self.flights.get(id) else {
+        let Some(request) = self.in_flight.get(id) else {
             return;
         };
         match verdict {
-            // What it asked for says more than what this gateway would learn from being turned away.
+            // The cooldown that the server asked for says more than the rejection does.
             Verdict::NotRun if self.cooldowns.left(server, now).is_some() => {}
             Verdict::NotRun => self.balance.overloaded(server, now),
             Verdict::Failed => self
@@ -330,33 +332,33 @@
                 .answered_with_failure(server, now.saturating_sub(since)),
             _ => {
                 let took = now.saturating_sub(since);
-                let wanted = flight.route.target_latency;
-                self.balance.note_service_time(&flight.service, took);
-                if self.balance.answered(server, now, took, wanted) {
+                let target = request.route.target_latency;
+                self.balance.note_service_time(&request.service, took);
+                if self.balance.answered(server, now, took, target) {
                     event!(Event::ServerTrusted, instance = server);
                 }
             }
         }
         if !matches!(verdict, Verdict::NotRun | Verdict::NotOwner) {
-            self.report_work(id, server, now.saturating_sub(since));
+            self.record_owner_time(id, server, now.saturating_sub(since));
         }
     }
 
-    /// A connection with a request on it broke: the request may have run.
-    pub(crate) fn break_off(&mut self, token: Token, reason: &str) {
+    /// Drops a connection that failed after its request was sent, so that the request may have been executed.
+    pub(crate) fn fail_connection(&mut self, token: Token, reason: &str) {
         let now = self.now();
         let Some(upstream) = self.drop_upstream(token) else {
             return;
         };
-        let Some(id) = upstream.flight else {
+        let Some(id) = upstream.request else {
             return;
         };
         if upstream.reused {
-            self.drop_resting(&upstream.server);
+            self.drop_idle(&upstream.server);
         }
-        let began_answer = upstream.reader.is_within() || !upstream.connection.inbound.is_empty();
-        if !began_answer {
-            self.look_for_crash(id, &upstream.server);
+        let response_began = upstream.reader.is_within() || !upstream.connection.inbound.is_empty();
+        if !response_began {
+            self.probe_for_crash(id, &upstream.server);
         }
         let pause = self.balance.failed(&upstream.server, now);
         self.metrics.note_suspected("broke off");
@@ -366,19 +368,18 @@
             reason = reason,
             pause_ms = pause.as_millis()
         );
-        if self.leave_server(id).is_some() {
-            self.decide(id, Verdict::Unknown, None, &upstream.server);
+        if self.end_attempt(id).is_some() {
+            self.retry_or_answer(id, Verdict::Unknown, None, &upstream.server);
         }
     }
 
-    /// Closes the connections to a server that rest, since one of its connections failed a request.
-    pub(crate) fn drop_resting(&mut self, server: &InstanceId) {
-        for token in self.upstreams.resting_at(server) {
+    /// Closes the idle connections to a server, since one of its connections failed a request.
+    pub(crate) fn drop_idle(&mut self, server: &InstanceId) {
+        for token in self.upstreams.idle_connections(server) {
             self.drop_upstream(token);
         }
     }
 
-    /// Closes a connection to a server.
     pub(crate) fn drop_upstream(&mut self, token: Token) -> Option<Upstream> {
         let upstream = self.upstreams.remove(token)?;
         self.balance.connection_closed(&upstream.server);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: a TOML file, checked whole at the start and at each reload.
+//! Settings of a gateway: a TOML file that is validated as a whole at startup and at each reload.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -11,57 +11,58 @@
 use grebepin_directory::SettingsError;
 use serde::Deserialize;
 
-/// Settings of a gateway.
+/// Settings of a gateway, as they stand in its file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct GatewaySettings {
-    /// Name of the machine.
+    /// Name of the machine, which identifies this gateway to the directory.
     pub node: String,
-    /// Zone it stands in.
+    /// Zone of the machine.
     pub zone: String,
-    /// Address for clients.
+    /// Address at which clients connect.
     pub front_address: SocketAddr,
-    /// Address that tells whether the gateway wants clients.
+    /// Address of the readiness endpoint.
     pub ready_address: SocketAddr,
-    /// Port at which metrics are told, at the address of the clients; 0 for none.
+    /// Port of the metrics endpoint, at the IP address of `front_address`; 0 disables it.
     #[serde(default)]
     pub metrics_port: u16,
-    /// Address to listen on and to connect from, where it is not the one that others use.
+    /// IP address to bind listeners and outgoing connections to, if it differs from the advertised one.
     #[serde(default)]
     pub bind_ip: Option<IpAddr>,
-    /// Port at which directory replicas take links.
+    /// Port at which directory replicas accept links from gateways.
     pub link_port: u16,
-    /// Port at which this gateway gives the state on to others that a cut keeps from the directory, at the
-    /// address of the clients; 0 for none.
+    /// Port at which this gateway relays the state to gateways that are partitioned from the directory, at
+    /// the IP address of `front_address`; 0 disables it.
     #[serde(default)]
     pub relay_port: u16,
-    /// Control addresses of directory replicas that are likely to be there.
+    /// Control addresses of directory replicas that are likely to be reachable at startup.
     pub seeds: Vec<SocketAddr>,
-    /// Megabits a second of the machine's link; no request is turned away for the link without.
+    /// Bandwidth of the machine's network link in megabits per second. Without it no request is rejected
+    /// because of the link.
     #[serde(default)]
     pub link_mbps: Option<f64>,
-    /// Descriptors that the process may use.
+    /// Maximum number of file descriptors of the process.
     #[serde(default = "default_descriptors")]
     pub maximum_descriptors: usize,
-    /// Bounds that the deployment sets.
+    /// Limits that the deployment sets.
     #[serde(default)]
     pub bounds: GatewayBounds,
 }
 
-/// Bounds that the deployment sets; unknown ones are passed over.
+/// Limits that the deployment sets; unknown keys are ignored.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct GatewayBounds {
-    /// Seconds between a request to stop and the end.
+    /// Seconds between a shutdown request and the end of the process.
     pub grace_s: f64,
-    /// Seconds after which a server that leaves gets no more requests.
+    /// Seconds after which a draining server receives no more requests.
     pub drain_s: f64,
-    /// Part of a service's requests that may be sent a second time.
+    /// Retry budget of a service, as a fraction of its requests.
     pub budget_ratio: f64,
-    /// Seconds over which the part is counted.
+    /// Seconds over which the retry budget is counted.
     pub budget_window_s: f64,
-    /// Second sendings within a window that are allowed beyond the part.
+    /// Retries within a window that are allowed in addition to `budget_ratio`.
     pub budget_slack: f64,
-    /// Seconds after which the servers of an evacuated zone get no more requests.
+    /// Seconds after which the servers of an evacuated zone receive no more requests.
     pub evacuation_s: f64,
 }
 
@@ -83,10 +84,10 @@
 }
 
 impl GatewaySettings {
-    /// Loads and checks a file.
+    /// Loads and validates a settings file.
     ///
     /// # Errors
-    /// It can't be read, is malformed, or a value breaks a rule.
+    /// The file can't be read, is malformed, or a value is out of range.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let settings: Self = load_toml(path)?;
         settings.check()?;
@@ -110,39 +111,39 @@
         Ok(())
     }
 
-    /// Where to listen for what others reach at `address`.
+    /// The address to bind for the advertised `address`.
     pub fn bind_address(&self, address: SocketAddr) -> SocketAddr {
         SocketAddr::new(self.bind_ip.unwrap_or(address.ip()), address.port())
     }
 
-    /// Where other gateways reach this one; `None` when it gives nothing on.
+    /// Address at which other gateways can follow this one; `None` when it does not relay.
     pub fn relay_address(&self) -> Option<SocketAddr> {
         let address = SocketAddr::new(self.front_address.ip(), self.relay_port);
         (self.relay_port != 0).then_some(address)
     }
 
-    /// The same as it is told; empty for none.
+    /// The relay address as it is advertised to the directory; empty when this gateway does not relay.
     pub fn relay_name(&self) -> String {
         let address = self.relay_address();
         address.map_or_else(String::new, |address| address.to_string())
     }
 
-    /// Internal addresses of the seeds.
+    /// Addresses at which the seeds accept links.
     pub fn seed_links(&self) -> Vec<SocketAddr> {
         link_addresses(&self.seeds, self.link_port)
     }
 
-    /// Time after which the servers of an evacuated zone get no more requests.
+    /// Time after which the servers of an evacuated zone receive no more requests.
     pub fn evacuation_bound(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.evacuation_s)
     }
 
-    /// Time after which a server that leaves gets no more requests.
+    /// Time after which a draining server receives no more requests.
     pub fn drain(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.drain_s)
     }
 
-    /// Time between a request to stop and the end.
+    /// Time between a shutdown request and the end of the process.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s)
     }
--- a/crates/gateway/src/statements.rs
+++ b/crates/gateway/src/statements.rs
@@ -1,4 +1,4 @@
-//! What answers state of their servers: taken over, logged and counted.
+//! Applies, logs and counts what a server states of itself in its responses.
 
 use std::time::Duration;
 
@@ -6,32 +6,33 @@
 use grebepin_reactor::http::Response;
 use grebepin_telemetry::{event, Event};
 
-use crate::server::Server;
+use crate::event_loop::EventLoop;
 use crate::statement::{RateStatement, ServerStatement};
 
-impl Server {
-    /// Takes in what an answer states of its server; its request was sent at `sent`.
-    pub(crate) fn note_statement(
+impl EventLoop {
+    /// Applies what a response states of its server; its request was sent at `sent`.
+    pub(crate) fn apply_statement(
         &mut self,
         server: &InstanceId,
         sent: Duration,
         response: &Response,
     ) {
         let statement = ServerStatement::of(response, &self.names);
-        self.note_stated_rate(server, sent, statement.rate);
+        self.apply_stated_rate(server, sent, statement.rate);
         if statement.is_leaving {
-            self.note_leaving(server);
+            self.apply_leaving(server);
         }
         if let Some(retry_after) = statement.retry_after {
-            self.note_retry_after(server, retry_after);
+            self.apply_retry_after(server, retry_after);
         }
         for field in statement.unusable {
-            self.note_unusable(server, field);
+            self.record_unusable_field(server, field);
         }
     }
 
-    /// Reports it with each such answer, until the directory says so itself: one report may be lost with its replica.
-    fn note_leaving(&mut self, server: &InstanceId) {
+    /// Reports a leaving server with each such response until the directory marks the server as draining,
+    /// since one report may be lost with its replica.
+    fn apply_leaving(&mut self, server: &InstanceId) {
         if self.leaving.note(server, self.now()) {
             self.load.note_crowd();
             event!(Event::ServerLeaves, instance = server);
@@ -42,7 +43,7 @@
         }
     }
 
-    fn note_retry_after(&mut self, server: &InstanceId, retry_after: Duration) {
+    fn apply_retry_after(&mut self, server: &InstanceId, retry_after: Duration) {
         let now = self.now();
         if !self.cooldowns.note(server, now, retry_after) {
             return;
@@ -57,40 +58,41 @@
         if instance.is_some_and(|one| self.table.is_sharded(&one.service)) {
             self.load.note_cooldown(server, retry_after);
         }
-        self.take_back_unsent(server);
-        self.look_again_for(server);
+        self.reassign_unsent(server);
+        self.redispatch_waiting(server);
     }
 
-    /// Takes requests back from connections to a server that are not up yet: nothing of them was sent.
-    fn take_back_unsent(&mut self, server: &InstanceId) {
+    /// Dispatches requests again that are assigned to connections which are not established yet. Nothing of
+    /// them was sent.
+    fn reassign_unsent(&mut self, server: &InstanceId) {
         for (token, id) in self.upstreams.connecting_to(server) {
             self.drop_upstream(token);
-            if self.leave_server(id).is_none() {
+            if self.end_attempt(id).is_none() {
                 continue;
             }
-            if let Some(flight) = self.flights.get_mut(id) {
-                flight.sendings -= 1;
-                flight.tried.pop();
+            if let Some(request) = self.in_flight.get_mut(id) {
+                request.attempts -= 1;
+                request.tried_servers.pop();
             }
             self.dispatch(id);
         }
     }
 
-    /// Requests that wait for a server find out at once that it takes none.
-    fn look_again_for(&mut self, server: &InstanceId) {
+    /// Dispatches the requests that wait for a server again, since it asked for no requests.
+    fn redispatch_waiting(&mut self, server: &InstanceId) {
         let Some(instance) = self.table.instance(server) else {
             return;
         };
         let service = instance.service.clone();
-        for (id, shard) in self.flights.awaiting_repeat(&service) {
-            if self.owns(server, &service, shard) {
+        for (id, shard) in self.in_flight.awaiting_retry(&service) {
+            if self.is_owner(server, &service, shard) {
                 self.redispatch(id);
             }
         }
-        self.services_with_room.insert(service);
+        self.services_with_capacity.insert(service);
     }
 
-    fn note_stated_rate(&mut self, server: &InstanceId, sent: Duration, statement: RateStatement) {
+    fn apply_stated_rate(&mut self, server: &InstanceId, sent: Duration, statement: RateStatement) {
         let now = self.now();
         if let RateStatement::PerSecond(per_second) = statement {
             self.load.note_stated_rate(server, per_second);
@@ -107,7 +109,7 @@
         );
     }
 
-    fn note_unusable(&mut self, server: &InstanceId, field: &'static str) {
+    fn record_unusable_field(&mut self, server: &InstanceId, field: &'static str) {
         self.metrics.note_unusable_field(field);
         if self.unusable_fields.insert(field) {
             event!(Event::StatementUnusable, instance = server, field = field);
