--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -1,7 +1,7 @@
-//! Connections to servers: at most one request at a time on each, the last used first.
+//! Pool of connections to servers. Each connection carries at most one request at a time, and the most
+//! recently used idle one is reused first.
 //!
-//! Invariant: a connection serves a second request only after the answer to the first was whole and
-//! nothing came after it.
+//! Invariant: a connection is reused only after the previous response was complete and no bytes followed it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,155 +11,150 @@
 use grebepin_reactor::Connection;
 use mio::Token;
 
-use crate::flight::FlightId;
+use crate::flight::InFlightId;
 
-/// Rest after which a connection is not used again when the server states no time.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
+/// Idle timeout for servers that state none in `Keep-Alive`.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Allowance for the way to the server.
-const REST_MARGIN: Duration = Duration::from_millis(700);
+/// Subtracted from the idle timeout that a server states, to allow for the network delay to the server.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
 /// A connection to a server.
 #[derive(Debug)]
 pub struct Upstream {
-    /// The connection.
     pub connection: Connection,
-    /// The server.
     pub server: InstanceId,
-    /// Whether it is up.
+    /// Whether the connection is established.
     pub connected: bool,
-    /// Whether it carried a request before the present one.
+    /// Whether it carried a request before the current one.
     pub reused: bool,
-    /// Request on it.
-    pub flight: Option<FlightId>,
-    /// The request that broke off another connection, for one that only shows whether its server is still there.
-    pub shows_crash_by: Option<Fingerprint>,
-    /// Reads its answers.
+    /// The request on this connection.
+    pub request: Option<InFlightId>,
+    /// Set on a connection that only probes for a crash: fingerprint of the request on whose connection the
+    /// server failed.
+    pub crash_probe: Option<Fingerprint>,
     pub reader: ResponseReader,
-    /// When it came to rest.
-    pub rested_since: Duration,
-    /// Longest rest after which it is used again.
-    pub rest_limit: Duration,
+    /// When the connection was opened or last became idle.
+    pub idle_since: Duration,
+    /// Longest idle time after which the connection is used again.
+    pub idle_timeout: Duration,
 }
 
 /// All connections to servers.
 #[derive(Debug, Default)]
 pub struct Upstreams {
     connections: HashMap<Token, Upstream>,
-    resting: HashMap<InstanceId, Vec<Token>>,
+    idle: HashMap<InstanceId, Vec<Token>>,
 }
 
 impl Upstreams {
-    /// Whether a token names one of these connections.
+    /// Whether a token belongs to one of these connections.
     pub fn owns(&self, token: Token) -> bool {
         self.connections.contains_key(&token)
     }
 
-    /// A connection, to be changed.
     pub fn get_mut(&mut self, token: Token) -> Option<&mut Upstream> {
         self.connections.get_mut(&token)
     }
 
-    /// A connection.
     pub fn get(&self, token: Token) -> Option<&Upstream> {
         self.connections.get(&token)
     }
 
-    /// How many there are.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Takes in a connection that was begun.
+    /// Adds a connection that is being established.
     pub fn add(&mut self, token: Token, upstream: Upstream) {
         self.connections.insert(token, upstream);
     }
 
-    /// Takes the connection to a server that rested the shortest.
-    pub fn take_resting(&mut self, server: &InstanceId, now: Duration) -> Option<Token> {
-        let resting = self.resting.get_mut(server)?;
-        let token = resting.pop()?;
+    /// Takes the most recently used idle connection to a server, unless it has been idle for too long.
+    pub fn take_idle(&mut self, server: &InstanceId, now: Duration) -> Option<Token> {
+        let idle = self.idle.get_mut(server)?;
+        let token = idle.pop()?;
         let upstream = self.connections.get(&token)?;
-        if now < upstream.rested_since + upstream.rest_limit {
+        if now < upstream.idle_since + upstream.idle_timeout {
             return Some(token);
         }
-        resting.push(token);
+        idle.push(token);
         None
     }
 
-    /// Lays a connection to rest after a whole answer.
-    pub fn rest(&mut self, token: Token, now: Duration, fields: &Fields) {
+    /// Returns a connection to the pool after a complete response. The response's `Keep-Alive` field sets the
+    /// idle timeout.
+    pub fn release(&mut self, token: Token, now: Duration, fields: &Fields) {
         if let Some(upstream) = self.connections.get_mut(&token) {
-            upstream.flight = None;
+            upstream.request = None;
             upstream.reused = true;
-            upstream.rested_since = now;
-            upstream.rest_limit = rest_limit(fields);
+            upstream.idle_since = now;
+            upstream.idle_timeout = idle_timeout(fields);
             upstream.connection.trim();
-            let resting = self.resting.entry(upstream.server.clone()).or_default();
-            resting.push(token);
+            let idle = self.idle.entry(upstream.server.clone()).or_default();
+            idle.push(token);
         }
     }
 
-    /// Lays a connection to rest that came up and carried nothing yet.
-    pub fn rest_unused(&mut self, token: Token, now: Duration) {
+    /// Adds a connection to the pool that was established and carried no request.
+    pub fn release_unused(&mut self, token: Token, now: Duration) {
         if let Some(upstream) = self.connections.get_mut(&token) {
-            upstream.rested_since = now;
-            upstream.rest_limit = DEFAULT_REST;
-            let resting = self.resting.entry(upstream.server.clone()).or_default();
-            resting.push(token);
+            upstream.idle_since = now;
+            upstream.idle_timeout = DEFAULT_IDLE_TIMEOUT;
+            let idle = self.idle.entry(upstream.server.clone()).or_default();
+            idle.push(token);
         }
     }
 
-    /// Connections to a server that are not up yet, and the requests that wait for them.
-    pub fn connecting_to(&self, server: &InstanceId) -> Vec<(Token, FlightId)> {
+    /// Connections to a server that are not established yet and have a request assigned.
+    pub fn connecting_to(&self, server: &InstanceId) -> Vec<(Token, InFlightId)> {
         let connecting = self.connections.iter();
         connecting
             .filter(|(_, one)| !one.connected && one.server == *server)
-            .filter_map(|(token, one)| Some((*token, one.flight?)))
+            .filter_map(|(token, one)| Some((*token, one.request?)))
             .collect()
     }
 
-    /// Connections to a server that rest. After one fell silent without an end, others that were open then may have as
-    /// well, and each would cost a request its whole time to find out.
-    pub fn resting_at(&self, server: &InstanceId) -> Vec<Token> {
-        self.resting.get(server).cloned().unwrap_or_default()
+    /// Idle connections to a server. After one connection was lost without a close, others that were open at
+    /// the time may be dead as well, and each would cost a request its whole time to find out.
+    pub fn idle_connections(&self, server: &InstanceId) -> Vec<Token> {
+        self.idle.get(server).cloned().unwrap_or_default()
     }
 
-    /// Closes a connection.
+    /// Removes a connection, which closes it when the result is dropped.
     pub fn remove(&mut self, token: Token) -> Option<Upstream> {
         let upstream = self.connections.remove(&token)?;
-        if let Some(resting) = self.resting.get_mut(&upstream.server) {
-            resting.retain(|one| *one != token);
-            if resting.is_empty() {
-                self.resting.remove(&upstream.server);
+        if let Some(idle) = self.idle.get_mut(&upstream.server) {
+            idle.retain(|one| *one != token);
+            if idle.is_empty() {
+                self.idle.remove(&upstream.server);
             }
         }
         Some(upstream)
     }
 
-    /// Connections that rested too long, or whose server is used no more.
+    /// Connections without a request that have been idle for too long, or whose server is no longer used.
     pub fn expired(&self, now: Duration, is_used: impl Fn(&InstanceId) -> bool) -> Vec<Token> {
-        let resting = self
+        let idle = self
             .connections
             .iter()
-            .filter(|(_, one)| one.flight.is_none());
-        resting
-            .filter(|(_, one)| now >= one.rested_since + one.rest_limit || !is_used(&one.server))
+            .filter(|(_, one)| one.request.is_none());
+        idle.filter(|(_, one)| now >= one.idle_since + one.idle_timeout || !is_used(&one.server))
             .map(|(token, _)| *token)
             .collect()
     }
 }
 
-/// How long a connection may rest, from what the server stated.
-fn rest_limit(fields: &Fields) -> Duration {
+/// Idle timeout of a connection, from the response's `Keep-Alive` field.
+fn idle_timeout(fields: &Fields) -> Duration {
     let stated = fields.get("keep-alive").and_then(|value| {
         let parts = value.split(',');
         let mut timeouts = parts.filter_map(|part| part.trim().strip_prefix("timeout="));
         timeouts.next()?.trim().parse::<u64>().ok()
     });
     match stated {
-        Some(seconds) => Duration::from_secs(seconds).saturating_sub(REST_MARGIN),
-        None => DEFAULT_REST,
+        Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_TIMEOUT_MARGIN),
+        None => DEFAULT_IDLE_TIMEOUT,
     }
 }
 
--- a/crates/gateway/src/upstreams/tests.rs
+++ b/crates/gateway/src/upstreams/tests.rs
@@ -12,11 +12,11 @@
         server: server.clone(),
         connected: true,
         reused: false,
-        flight: None,
-        shows_crash_by: None,
+        request: None,
+        crash_probe: None,
         reader: ResponseReader::default(),
-        rested_since: Duration::ZERO,
-        rest_limit: DEFAULT_REST,
+        idle_since: Duration::ZERO,
+        idle_timeout: DEFAULT_IDLE_TIMEOUT,
     }
 }
 
@@ -29,15 +29,15 @@
     for (number, server) in [&one, &one, &one, &other].into_iter().enumerate() {
         let token = Token(number);
         upstreams.add(token, connection(&poll, &listener, token, server));
-        upstreams.rest(token, Duration::ZERO, &Fields::default());
+        upstreams.release(token, Duration::ZERO, &Fields::default());
     }
-    let busy = upstreams.take_resting(&one, Duration::ZERO);
+    let busy = upstreams.take_idle(&one, Duration::ZERO);
     assert_eq!(busy, Some(Token(2)));
-    assert_eq!(upstreams.resting_at(&one), [Token(0), Token(1)]);
-    for token in upstreams.resting_at(&one) {
+    assert_eq!(upstreams.idle_connections(&one), [Token(0), Token(1)]);
+    for token in upstreams.idle_connections(&one) {
         upstreams.remove(token);
     }
-    assert_eq!(upstreams.resting_at(&one), []);
-    assert_eq!(upstreams.take_resting(&one, Duration::ZERO), None);
-    assert_eq!(upstreams.resting_at(&other), [Token(3)]);
+    assert_eq!(upstreams.idle_connections(&one), []);
+    assert_eq!(upstreams.take_idle(&one, Duration::ZERO), None);
+    assert_eq!(upstreams.idle_connections(&other), [Token(3)]);
 }
