--- a/crates/gateway/src/answering.rs
+++ b/crates/gateway/src/answering.rs
@@ -10,9 +10,9 @@
 
 use crate::crash_memory::fingerprint;
 use crate::event_loop::{EventLoop, Timer};
-use crate::flight::{InFlightId, InFlightRequest, InFlightState};
 use crate::forwarding::MIN_TIME_LEFT;
 use crate::http_writer::{write_local_response, write_response, LocalResponse};
+use crate::in_flight::{InFlightId, InFlightRequest, InFlightState};
 use crate::refusal::Refusal;
 use crate::verdict::{may_repeat, Verdict};
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -7,7 +7,7 @@
 use grebepin_reactor::{Connection, ReadOutcome};
 use mio::Token;
 
-use crate::flight::InFlightId;
+use crate::in_flight::InFlightId;
 
 /// Bytes that are buffered of pipelined requests while an earlier request is in flight.
 const BUFFER_LIMIT: usize = 256 << 10;
--- a/crates/gateway/src/crash_check.rs
+++ b/crates/gateway/src/crash_check.rs
@@ -7,7 +7,7 @@
 
 use crate::crash_memory::fingerprint;
 use crate::event_loop::EventLoop;
-use crate::flight::InFlightId;
+use crate::in_flight::InFlightId;
 
 impl EventLoop {
     /// Opens a probe connection to a server that closed a connection before the first byte of a response. The
--- a/crates/gateway/src/forwarding.rs
+++ b/crates/gateway/src/forwarding.rs
@@ -11,9 +11,9 @@
 
 use crate::crash_memory::fingerprint;
 use crate::event_loop::{EventLoop, Timer};
-use crate::flight::{InFlightId, InFlightRequest, InFlightState};
 use crate::headers::HeaderNames;
 use crate::http_writer::LocalResponse;
+use crate::in_flight::{InFlightId, InFlightRequest, InFlightState};
 use crate::placing::warmup_allows;
 use crate::refusal::Refusal;
 use crate::stopping::Stopping;
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -9,8 +9,8 @@
 use grebepin_grants::Permit;
 
 use crate::event_loop::{EventLoop, Timer};
-use crate::flight::{InFlightId, InFlightState};
 use crate::forwarding::MAX_WAIT_FRACTION;
+use crate::in_flight::{InFlightId, InFlightState};
 use crate::refusal::Refusal;
 
 /// Longest wait for a permit: a few round trips between zones.
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use crate::event_loop::EventLoop;
-use crate::flight::InFlightId;
+use crate::in_flight::InFlightId;
 use crate::refusal::Refusal;
 use crate::table::Table;
 use crate::warmup::WarmupTurns;
--- a/crates/gateway/src/sending.rs
+++ b/crates/gateway/src/sending.rs
@@ -10,8 +10,8 @@
 
 use crate::crash_memory::fingerprint;
 use crate::event_loop::{EventLoop, Timer};
-use crate::flight::{InFlightId, InFlightState};
 use crate::http_writer::write_request;
+use crate::in_flight::{InFlightId, InFlightState};
 use crate::refusal::Refusal;
 use crate::upstreams::Upstream;
 use crate::verdict::{belongs, judge, Verdict};
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -11,7 +11,7 @@
 use grebepin_reactor::Connection;
 use mio::Token;
 
-use crate::flight::InFlightId;
+use crate::in_flight::InFlightId;
 
 /// Idle timeout for servers that state none in `Keep-Alive`.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
