--- a/crates/gateway/examples/fingerprint_cost.rs
+++ b/crates/gateway/examples/fingerprint_cost.rs
@@ -1,4 +1,4 @@
-//! What the fingerprint of a request costs.
+//! Measures the time that the fingerprint of a request takes.
 //!
 //! `cargo run --release -p grebepin-gateway --example fingerprint_cost`
 
@@ -8,7 +8,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use grebepin_gateway::crash_memory::fingerprint;
+use grebepin_gateway::crash_history::fingerprint;
 use grebepin_reactor::http::{Fields, Request};
 use header_names::NAMES;
 
@@ -31,7 +31,7 @@
         black_box(fingerprint(black_box(&request), &NAMES));
     }
     println!(
-        "{:?} a request of {BODY_BYTES} bytes",
+        "{:?} per request with a body of {BODY_BYTES} bytes",
         started.elapsed() / ROUNDS
     );
 }
--- a/crates/gateway/src/answering.rs
+++ b/crates/gateway/src/answering.rs
@@ -8,13 +8,13 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use crate::crash_memory::fingerprint;
+use crate::crash_history::fingerprint;
 use crate::event_loop::{EventLoop, Timer};
 use crate::forwarding::MIN_TIME_LEFT;
 use crate::http_writer::{write_local_response, write_response, LocalResponse};
 use crate::in_flight::{InFlightId, InFlightRequest, InFlightState};
 use crate::refusal::Refusal;
-use crate::verdict::{may_repeat, Verdict};
+use crate::verdict::{may_retry, Verdict};
 
 /// Delay before a retry at the same owner, which may have acquired the key's shard by then.
 const OWNER_RETRY_DELAY: Duration = Duration::from_millis(120);
@@ -32,20 +32,20 @@
         let Some(request) = self.in_flight.get(id) else {
             return;
         };
-        let place_after = match verdict {
+        let capacity_after = match verdict {
             Verdict::NotRun => self.capacity_after(server),
             _ => None,
         };
-        let delay = self.retry_delay(verdict, request, server, place_after);
+        let delay = self.retry_delay(verdict, request, server, capacity_after);
         // The only server of a key gets no retry while it states a rate, since the retry would use capacity
         // meant for another caller, nor while it asks for no requests.
         let returns_to_owner = request
             .shard
             .is_some_and(|shard| self.is_owner(server, &request.service, shard));
-        let cools_down = self.cooldowns.left(server, now).is_some();
+        let cools_down = self.cooldowns.remaining(server, now).is_some();
         let owner_is_limited =
             returns_to_owner && (cools_down || self.stated_rates.rate(server).is_some());
-        let may_retry = may_repeat(verdict, request.kind())
+        let retry_allowed = may_retry(verdict, request.kind())
             && !owner_is_limited
             && !self.is_crash_suspect(request)
             && request.attempts < request.route.maximum_attempts
@@ -53,7 +53,7 @@
             && (delay.is_zero() || self.meets_target(request, server, now + delay));
         // The number of gateways that share the retry budget is known only from a leader.
         let knows_budget_share = self.directory.knows_gateway_count(now);
-        if may_retry
+        if retry_allowed
             && knows_budget_share
             && self
                 .budgets
@@ -63,15 +63,15 @@
         }
         match (verdict, response) {
             (Verdict::Failed, Some(response)) => self.forward_response(id, &response),
-            (Verdict::NotRun | Verdict::NotOwner, _) if may_retry => {
-                self.refuse(id, Refusal::BudgetSpent { place_after });
+            (Verdict::NotRun | Verdict::NotOwner, _) if retry_allowed => {
+                self.refuse(id, Refusal::BudgetSpent { capacity_after });
             }
             (Verdict::NotRun | Verdict::NotOwner, _) if returns_to_owner && cools_down => {
                 let refusal = self.cooldown_refusal(server);
                 self.refuse(id, refusal);
             }
             (Verdict::NotRun | Verdict::NotOwner, _) => {
-                self.refuse(id, Refusal::NotRun { place_after });
+                self.refuse(id, Refusal::NotRun { capacity_after });
             }
             _ => self.fail(id, 502, "server broke off"),
         }
@@ -93,13 +93,13 @@
         verdict: Verdict,
         request: &InFlightRequest,
         server: &InstanceId,
-        place_after: Option<Duration>,
+        capacity_after: Option<Duration>,
     ) -> Duration {
         let Some(shard) = request.shard else {
             return Duration::ZERO;
         };
         match verdict {
-            Verdict::NotRun => place_after.unwrap_or_default(),
+            Verdict::NotRun => capacity_after.unwrap_or_default(),
             Verdict::NotOwner if self.is_owner(server, &request.service, shard) => {
                 OWNER_RETRY_DELAY
             }
@@ -119,7 +119,7 @@
     /// server.
     fn capacity_after(&self, server: &InstanceId) -> Option<Duration> {
         let instance = self.table.instance(server)?;
-        Some(self.balance.place_after(instance))
+        Some(self.balance.capacity_after(instance))
     }
 
     /// Whether the table names a server as the owner of a shard.
@@ -195,7 +195,8 @@
         };
         let state = request.state.clone();
         if let (InFlightState::Assigned { server, since, .. }, true) = (state, was_sent) {
-            self.balance.silent(&server, now, now.saturating_sub(since));
+            self.balance
+                .timed_out(&server, now, now.saturating_sub(since));
             if reused {
                 self.drop_idle(&server);
             }
@@ -203,7 +204,7 @@
         self.cancel_attempt(id);
         match was_sent {
             // Any earlier attempt of a request that is not repeatable is proven not to have been executed.
-            false => self.refuse(id, Refusal::NoTime),
+            false => self.refuse(id, Refusal::DeadlineExpired),
             true => self.fail(id, 504, "time is up"),
         }
     }
--- a/crates/gateway/src/crash_check.rs
+++ b/crates/gateway/src/crash_check.rs
@@ -1,11 +1,11 @@
 //! Detects whether a server that closed a connection with a request on it has crashed, see
-//! [`crate::crash_memory`].
+//! [`crate::crash_history`].
 
 use grebepin_catalog::InstanceId;
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use crate::crash_memory::fingerprint;
+use crate::crash_history::fingerprint;
 use crate::event_loop::EventLoop;
 use crate::in_flight::InFlightId;
 
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -16,11 +16,10 @@
 use rand::SeedableRng;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
-use crate::balance::Balance;
-use crate::budget::{BudgetBound, Budgets};
+use crate::client_retries::ClientRetryDetector;
 use crate::clients::{Client, Clients};
 use crate::cooldowns::Cooldowns;
-use crate::crash_memory::CrashMemory;
+use crate::crash_history::CrashHistory;
 use crate::evacuations::Evacuations;
 use crate::follow::{DirectoryClient, Update};
 use crate::headers::HeaderNames;
@@ -29,8 +28,9 @@
 use crate::leaving::LeavingServers;
 use crate::link_queue::LinkQueue;
 use crate::load::LoadCounts;
-use crate::patience::LongestPatience;
+use crate::load_balancer::LoadBalancer;
 use crate::relay::Relay;
+use crate::retry_budget::{RetryBudgetBound, RetryBudgets};
 use crate::settings::GatewaySettings;
 use crate::stated_rate::StatedRates;
 use crate::stopping::Stopping;
@@ -103,8 +103,8 @@
     pub(crate) timers: Deadlines<Timer>,
     pub(crate) table: Table,
     pub(crate) splitter: Splitter,
-    pub(crate) balance: Balance,
-    pub(crate) budgets: Budgets,
+    pub(crate) balance: LoadBalancer,
+    pub(crate) budgets: RetryBudgets,
     pub(crate) evacuations: Evacuations,
     pub(crate) warmup: WarmupTurns,
     pub(crate) stated_rates: StatedRates,
@@ -113,10 +113,10 @@
     /// Response header fields that held an unusable value; each is logged once.
     pub(crate) unusable_fields: BTreeSet<&'static str>,
     pub(crate) load: LoadCounts,
-    pub(crate) crashes: CrashMemory,
+    pub(crate) crashes: CrashHistory,
     /// Estimate of the bytes queued on this machine's network link.
     pub(crate) link_queue: LinkQueue,
-    pub(crate) patience: LongestPatience,
+    pub(crate) patience: ClientRetryDetector,
     pub(crate) random: SmallRng,
     pub(crate) directory: DirectoryClient,
     pub(crate) stopping: Option<Stopping>,
@@ -160,7 +160,7 @@
             front = settings.front_address,
             seeds = settings.seeds.len()
         );
-        let bound = BudgetBound {
+        let bound = RetryBudgetBound {
             ratio: settings.bounds.budget_ratio,
             window: Duration::from_secs_f64(settings.bounds.budget_window_s),
             slack: settings.bounds.budget_slack,
@@ -169,7 +169,7 @@
         let warmup = WarmupTurns::new(&settings.node);
         let stated_rates = StatedRates::new(&settings.node);
         let leaving = LeavingServers::new(settings.drain());
-        let budgets = Budgets::new(bound, &settings.node);
+        let budgets = RetryBudgets::new(bound, &settings.node);
         let link_queue = LinkQueue::new(settings.link_mbps);
         let table = Table::new(&settings.node, &settings.zone);
         Ok(Self {
@@ -195,7 +195,7 @@
             timers: Deadlines::default(),
             table,
             splitter: Splitter::default(),
-            balance: Balance::default(),
+            balance: LoadBalancer::default(),
             budgets,
             evacuations,
             warmup,
@@ -204,9 +204,9 @@
             leaving,
             unusable_fields: BTreeSet::new(),
             load: LoadCounts::default(),
-            crashes: CrashMemory::default(),
+            crashes: CrashHistory::default(),
             link_queue,
-            patience: LongestPatience::default(),
+            patience: ClientRetryDetector::default(),
             random: SmallRng::from_os_rng(),
             stopping: None,
             logged_ready: false,
--- a/crates/gateway/src/follow/feed.rs
+++ b/crates/gateway/src/follow/feed.rs
@@ -10,7 +10,7 @@
 
 use super::link::LinkPeer;
 use super::DirectoryClient;
-use crate::first_state::newest_of_majority;
+use crate::initial_state::newest_of_majority;
 
 /// Time without a message after which another replica that receives the leader's log is followed. Replicas
 /// send a message every 500 ms.
@@ -91,12 +91,12 @@
     fn may_request_state(&self, now: Duration, token: Token) -> bool {
         let preferred = self.replicas.preferred(now);
         let is_preferred = preferred.as_ref() == Some(&self.links[&token].address);
-        self.first_source.may_ask(now, is_preferred)
+        self.initial_source.may_request(now, is_preferred)
     }
 
     fn note_state_request(&mut self, now: Duration, token: Token) {
         self.state_requested_from = Some(token);
-        self.first_source.asked(now);
+        self.initial_source.note_state_requested(now);
     }
 
     /// Closes links to replicas that are no longer preferred, once a preferred one is followed.
@@ -117,7 +117,7 @@
         let mut wanted = self.replicas.wanted(now, self.fed_link(now).is_some());
         let mut limit = MAX_LINKS;
         if applied == 0 {
-            wanted.extend(self.replicas.witnesses(now));
+            wanted.extend(self.replicas.state_candidates(now));
             limit = MAX_INITIAL_LINKS;
         }
         let linked: BTreeSet<&String> = self.links.values().map(|link| &link.address).collect();
@@ -150,7 +150,7 @@
 
     /// Requests the state that a majority of the voters holds, while no leader is known.
     pub(super) fn request_initial_state(&mut self, now: Duration) {
-        if self.followed.is_some() || self.first_source.is_under_way(now) {
+        if self.followed.is_some() || self.initial_source.is_pending(now) {
             return;
         }
         let heads = || {
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -19,8 +19,8 @@
 use link::{Link, LinkPeer};
 use mio::{Registry, Token};
 
-use crate::crash_memory::CrashMemory;
-use crate::first_source::FirstSource;
+use crate::crash_history::CrashHistory;
+use crate::initial_source::InitialSource;
 use crate::load::LoadCounts;
 use crate::relays::Relays;
 use crate::replicas::Replicas;
@@ -89,13 +89,13 @@
     /// Load counted since the last report.
     pub load: &'a mut LoadCounts,
     /// Crashes of servers.
-    pub crashes: &'a mut CrashMemory,
+    pub crashes: &'a mut CrashHistory,
 }
 
 impl ReportContent<'_> {
     /// Whether the report should be sent early.
     fn is_urgent(&self) -> bool {
-        self.load.is_crowded() || self.crashes.has_news()
+        self.load.is_overloaded() || self.crashes.has_unreported()
     }
 }
 
@@ -112,7 +112,7 @@
     relays: Relays,
     /// The link whose replica was asked for the initial state.
     state_requested_from: Option<Token>,
-    first_source: FirstSource,
+    initial_source: InitialSource,
     /// When a replica first reported the number of gateways.
     gateways_known_since: Option<Duration>,
     /// When the followed replica last sent a message while it received the leader's log.
@@ -132,7 +132,7 @@
             followed: None,
             relays: Relays::new(&settings.relay_name()),
             state_requested_from: None,
-            first_source: FirstSource::default(),
+            initial_source: InitialSource::default(),
             gateways_known_since: None,
             last_leader_message: None,
         }
@@ -182,7 +182,7 @@
             false => INITIAL_RETRY_DELAY,
         };
         self.drop_dead_links(now);
-        self.replicas.tick(now);
+        self.replicas.forget_expired(now);
         self.choose_feed(now, state.applied);
         if state.applied == 0 {
             self.request_initial_state(now);
@@ -392,7 +392,7 @@
             return;
         }
         self.replicas.note(now, &head.replicas);
-        self.first_source.heard(now);
+        self.initial_source.note_replica_message(now);
         let is_fed = head.is_fed;
         if is_fed && head.gateways > 0 {
             self.gateways_known_since.get_or_insert(now);
@@ -404,7 +404,7 @@
         link.head = Some(head);
         match is_fed {
             true => {
-                self.replicas.trust(&link.address);
+                self.replicas.stop_avoiding(&link.address);
                 self.choose_feed(now, applied);
             }
             false => self.on_unfed_replica(now, token, applied),
@@ -433,7 +433,7 @@
         self.replicas.avoid(now, &link.address, self.retry_delay);
         if self.state_requested_from == Some(token) {
             self.state_requested_from = None;
-            self.first_source.lost();
+            self.initial_source.note_source_lost();
         }
         if self.followed == Some(token) {
             self.followed = None;
--- a/crates/gateway/src/forwarding.rs
+++ b/crates/gateway/src/forwarding.rs
@@ -9,7 +9,7 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use crate::crash_memory::fingerprint;
+use crate::crash_history::fingerprint;
 use crate::event_loop::{EventLoop, Timer};
 use crate::headers::HeaderNames;
 use crate::http_writer::LocalResponse;
@@ -138,7 +138,7 @@
         let service = route.targets[target].service.clone();
         let stated_timeout = incoming.stated_timeout;
         let is_client_retry = stated_timeout
-            .is_some_and(|stated_timeout| self.patience.is_returned(now, &name, stated_timeout));
+            .is_some_and(|stated_timeout| self.patience.is_retry(now, &name, stated_timeout));
         match self.admit(&incoming, &route, &service, is_client_retry, now) {
             Ok(()) => self.accept(incoming, name, route, service, is_client_retry),
             Err(refusal) => self.reject(&incoming, refusal),
@@ -184,9 +184,9 @@
         if !self.stopping.is_none_or(can_finish) {
             return Err(Refusal::Stopping);
         }
-        let ranks = self.table.ranks_above_least(route) + u32::from(is_client_retry);
+        let ranks = self.table.priority_above_lowest(route) + u32::from(is_client_retry);
         let bytes = incoming.request.body.len();
-        match self.link_queue.take(now, service, bytes, ranks) {
+        match self.link_queue.admit(now, service, bytes, ranks) {
             true => Ok(()),
             false => {
                 self.metrics
@@ -266,7 +266,7 @@
             return;
         };
         if now + MIN_TIME_LEFT >= request.expires {
-            return self.refuse(id, Refusal::NoTime);
+            return self.refuse(id, Refusal::DeadlineExpired);
         }
         match request.shard {
             Some(shard) => self.dispatch_to_owner(id, shard),
@@ -296,14 +296,14 @@
                 );
                 self.wait_for_owner(id, fence);
             }
-            Some(owner) if self.cooldowns.left(&owner.id, now).is_some() => {
+            Some(owner) if self.cooldowns.remaining(&owner.id, now).is_some() => {
                 self.wait_for_cooldown(id, &owner.id);
             }
             Some(owner) if !warmup_allows(&self.table, &self.warmup, &owner, gateways, now) => {
                 self.refuse(id, Refusal::WarmingUp);
             }
             Some(owner) if !self.balance.has_room(&owner.id, now) => {
-                self.load.note_crowd();
+                self.load.note_overload();
                 self.wait_for_capacity(id, self.balance.opens_at(&owner.id, now));
             }
             Some(owner) if self.needs_permit(id, &owner.id) => self.request_permit(id, &owner),
@@ -317,7 +317,7 @@
     /// how much of that time is left, so it sends nothing.
     fn may_receive(&self, owner: &Instance, now: Duration) -> bool {
         let is_ready = owner.state == InstanceState::Ready;
-        let drains = owner.state == InstanceState::Draining && self.leaving.leaves(&owner.id);
+        let drains = owner.state == InstanceState::Draining && self.leaving.is_leaving(&owner.id);
         (is_ready || drains) && self.leaving.is_usable(&owner.id, now)
     }
 
@@ -341,8 +341,8 @@
     /// it otherwise.
     fn wait_for_cooldown(&mut self, id: InFlightId, owner: &InstanceId) {
         let now = self.now();
-        let left = self.cooldowns.left(owner, now).unwrap_or_default();
-        self.load.note_crowd();
+        let left = self.cooldowns.remaining(owner, now).unwrap_or_default();
+        self.load.note_overload();
         match self.can_wait(id, left) {
             true => self.wait_for_capacity(id, Some(now + left)),
             false => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,10 @@
 //! The gateway: accepts client requests, selects the server that may execute each one, and returns the
 //! response.
 //!
-//! Everything runs on one thread. `table`, `balance`, `budget`, `cooldowns`, `stated_rate` and `verdict` make
-//! decisions and perform no I/O. `clients`, `upstreams` and `follow` own the connections. `forwarding`,
-//! `sending` and `answering` implement the phases of a request, `housekeeping` holds the periodic tasks, and
-//! `event_loop` drives them all.
+//! Everything runs on one thread. `table`, `load_balancer`, `retry_budget`, `cooldowns`, `stated_rate` and
+//! `verdict` make decisions and perform no I/O. `clients`, `upstreams` and `follow` own the connections.
+//! `forwarding`, `sending` and `answering` implement the phases of a request, `housekeeping` holds the periodic
+//! tasks, and `event_loop` drives them all.
 //!
 //! Invariants: a request that is not repeatable is sent a second time only after proof that the first attempt
 //! was not executed. A response reaches the client only in full, and only if it carries the id of its
@@ -12,16 +12,13 @@
 
 mod answering;
 pub mod backoff;
-pub mod balance;
-pub mod budget;
+pub mod client_retries;
 mod clients;
 pub mod cooldowns;
 mod crash_check;
-pub mod crash_memory;
+pub mod crash_history;
 pub mod evacuations;
 mod event_loop;
-pub mod first_source;
-pub mod first_state;
 mod follow;
 mod forwarding;
 mod hashing;
@@ -29,11 +26,13 @@
 mod housekeeping;
 pub mod http_writer;
 mod in_flight;
+pub mod initial_source;
+pub mod initial_state;
 pub mod leaving;
 pub mod limit;
 pub mod link_queue;
 pub mod load;
-pub mod patience;
+pub mod load_balancer;
 mod permits;
 mod placing;
 pub mod rate_turns;
@@ -41,6 +40,7 @@
 mod relay;
 pub mod relays;
 pub mod replicas;
+pub mod retry_budget;
 mod sending;
 pub mod server_index;
 mod settings;
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -29,9 +29,9 @@
     /// Requests a permit to send a request to the owner of its key.
     pub(crate) fn request_permit(&mut self, id: InFlightId, owner: &Instance) {
         let now = self.now();
-        if let Some(after) = self.stated_rates.refused_for(&owner.id, now) {
-            let place_after = Some(after);
-            return self.refuse(id, Refusal::RateSpent { place_after });
+        if let Some(after) = self.stated_rates.permit_refused_for(&owner.id, now) {
+            let capacity_after = Some(after);
+            return self.refuse(id, Refusal::RateSpent { capacity_after });
         }
         let Some(stated_rate) = self.stated_rates.rate(&owner.id) else {
             return;
@@ -73,10 +73,10 @@
                 self.dispatch(id);
             }
             Some(Permit::Refused { after }) => {
-                self.load.note_crowd();
-                self.stated_rates.note_refused(&server, now + after);
-                let place_after = Some(after);
-                self.refuse(id, Refusal::RateSpent { place_after });
+                self.load.note_overload();
+                self.stated_rates.note_permit_refused(&server, now + after);
+                let capacity_after = Some(after);
+                self.refuse(id, Refusal::RateSpent { capacity_after });
             }
             None => self.proceed_without_permit(id, &server),
         }
@@ -107,9 +107,9 @@
         let now = self.now();
         let gateways = self.gateway_count();
         if !self.stated_rates.is_open(&owner.id, now, gateways) {
-            self.load.note_crowd();
-            let place_after = self.stated_rates.place_after(&owner.id);
-            return self.refuse(id, Refusal::RateSpent { place_after });
+            self.load.note_overload();
+            let capacity_after = self.stated_rates.capacity_after(&owner.id);
+            return self.refuse(id, Refusal::RateSpent { capacity_after });
         }
         if let Some(request) = self.in_flight.get_mut(id) {
             request.permitted_server = Some(owner.id.clone());
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -46,7 +46,7 @@
         let untried = servers.filter(|server| !request.tried_servers.contains(&server.id));
         let available = untried
             .clone()
-            .filter(|server| cooldowns.left(&server.id, now).is_none())
+            .filter(|server| cooldowns.remaining(&server.id, now).is_none())
             .filter(|server| warmup_allows(table, warmup, server, gateways, now))
             .filter(|server| rates.is_open(&server.id, now, gateways));
         let zone = self.settings.zone.as_str();
@@ -54,7 +54,7 @@
         let mut random = || random.random::<f64>();
         let staying = available
             .clone()
-            .filter(|server| !leaving.leaves(&server.id));
+            .filter(|server| !leaving.is_leaving(&server.id));
         let chosen = self.balance.choose(staying, zone, now, &mut random);
         let chosen = chosen.or_else(|| {
             let available = available.clone();
@@ -72,27 +72,29 @@
         if !none_available {
             return Some(Selection::Wait { opens_at });
         }
-        let place_after = untried.clone().filter_map(|one| rates.place_after(&one.id));
-        let place_after = place_after.min();
-        let left = untried.filter_map(|one| Some((cooldowns.left(&one.id, now)?, &one.id)));
+        let capacity_after = untried
+            .clone()
+            .filter_map(|one| rates.capacity_after(&one.id));
+        let capacity_after = capacity_after.min();
+        let left = untried.filter_map(|one| Some((cooldowns.remaining(&one.id, now)?, &one.id)));
         let first_back = left.min().map(|(_, id)| id.clone());
-        Some(self.select_without_available(id, first_back.as_ref(), place_after))
+        Some(self.select_without_available(id, first_back.as_ref(), capacity_after))
     }
 
     /// Decides about a request that no server accepts now. `first_back` is the cooling server whose cooldown
-    /// ends first, and `place_after` the shortest time after which a server that states a rate has capacity;
+    /// ends first, and `capacity_after` the shortest time after which a server that states a rate has capacity;
     /// each is `None` where there is no such server.
     fn select_without_available(
         &mut self,
         id: InFlightId,
         first_back: Option<&InstanceId>,
-        place_after: Option<Duration>,
+        capacity_after: Option<Duration>,
     ) -> Selection {
         let now = self.now();
-        if place_after.is_some() {
-            return Selection::Refuse(Refusal::RateSpent { place_after });
+        if capacity_after.is_some() {
+            return Selection::Refuse(Refusal::RateSpent { capacity_after });
         }
-        let left = first_back.and_then(|server| self.cooldowns.left(server, now));
+        let left = first_back.and_then(|server| self.cooldowns.remaining(server, now));
         let (Some(server), Some(left)) = (first_back, left) else {
             return Selection::Refuse(Refusal::WarmingUp);
         };
@@ -106,9 +108,11 @@
     /// The refusal of a request that only a cooling server could execute.
     pub(crate) fn cooldown_refusal(&mut self, server: &InstanceId) -> Refusal {
         let now = self.now();
-        let back_after = self.cooldowns.back_after(server, now, self.random.random());
+        let client_retry_after =
+            self.cooldowns
+                .client_retry_after(server, now, self.random.random());
         Refusal::CoolingDown {
-            back_after: back_after.unwrap_or_default(),
+            client_retry_after: client_retry_after.unwrap_or_default(),
         }
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -171,7 +171,7 @@
         {
             return true;
         }
-        let Ok(state) = table.whole_state() else {
+        let Ok(state) = table.snapshot() else {
             return false;
         };
         let index = table.applied();
--- a/crates/gateway/src/sending.rs
+++ b/crates/gateway/src/sending.rs
@@ -8,13 +8,13 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use crate::crash_memory::fingerprint;
+use crate::crash_history::fingerprint;
 use crate::event_loop::{EventLoop, Timer};
 use crate::http_writer::write_request;
 use crate::in_flight::{InFlightId, InFlightState};
 use crate::refusal::Refusal;
 use crate::upstreams::Upstream;
-use crate::verdict::{belongs, judge, Verdict};
+use crate::verdict::{belongs_to_request, classify, Verdict};
 
 /// Timeout for establishing a connection to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -71,7 +71,7 @@
         if self.stated_rates.note_sent(&server.id, now, gateways) {
             self.metrics.sent_at_stated_rates.inc();
         }
-        if self.cooldowns.left(&server.id, now).is_some() {
+        if self.cooldowns.remaining(&server.id, now).is_some() {
             self.metrics.sent_in_cooldowns.inc();
         }
         let Some(upstream) = self.upstreams.get_mut(token) else {
@@ -165,7 +165,7 @@
             return;
         };
         let server = upstream.server;
-        let pause = self.balance.failed(&server, now);
+        let pause = self.balance.connection_failed(&server, now);
         self.metrics.note_suspected("no connection");
         event!(
             Event::ServerSuspected,
@@ -186,7 +186,7 @@
         request.connect_failures += 1;
         request.state = InFlightState::Dispatching;
         match request.connect_failures > MAX_CONNECT_FAILURES {
-            true => self.refuse(id, Refusal::OutOfReach),
+            true => self.refuse(id, Refusal::Unreachable),
             false => self.dispatch(id),
         }
     }
@@ -252,7 +252,9 @@
                 taken = upstream.reader.end(&upstream.connection.inbound);
             }
             match (taken, &outcome) {
-                (Ok(Some(response)), _) if belongs(&response, &request.request_id, &names) => {
+                (Ok(Some(response)), _)
+                    if belongs_to_request(&response, &request.request_id, &names) =>
+                {
                     return self.on_response(token, id, response);
                 }
                 (Ok(Some(response)), _) => {
@@ -295,7 +297,7 @@
         if !self.crashes.is_empty() && response.fields.get(names.signature).is_some() {
             self.crashes.clear(fingerprint(&request.message, &names));
         }
-        let verdict = judge(&response, &names);
+        let verdict = classify(&response, &names);
         self.record_outcome(id, verdict, &server, since);
         let reusable = self
             .upstreams
@@ -325,7 +327,7 @@
         };
         match verdict {
             // The cooldown that the server asked for says more than the rejection does.
-            Verdict::NotRun if self.cooldowns.left(server, now).is_some() => {}
+            Verdict::NotRun if self.cooldowns.remaining(server, now).is_some() => {}
             Verdict::NotRun => self.balance.overloaded(server, now),
             Verdict::Failed => self
                 .balance
@@ -360,7 +362,7 @@
         if !response_began {
             self.probe_for_crash(id, &upstream.server);
         }
-        let pause = self.balance.failed(&upstream.server, now);
+        let pause = self.balance.connection_failed(&upstream.server, now);
         self.metrics.note_suspected("broke off");
         event!(
             Event::ServerSuspected,
--- a/crates/gateway/src/statements.rs
+++ b/crates/gateway/src/statements.rs
@@ -34,7 +34,7 @@
     /// since one report may be lost with its replica.
     fn apply_leaving(&mut self, server: &InstanceId) {
         if self.leaving.note(server, self.now()) {
-            self.load.note_crowd();
+            self.load.note_overload();
             event!(Event::ServerLeaves, instance = server);
         }
         let instance = self.table.instance(server);
@@ -53,7 +53,7 @@
             instance = server,
             ms = retry_after.as_millis()
         );
-        self.balance.cooled_down(server);
+        self.balance.cooldown_requested(server);
         let instance = self.table.instance(server);
         if instance.is_some_and(|one| self.table.is_sharded(&one.service)) {
             self.load.note_cooldown(server, retry_after);
