--- a/crates/gateway/src/answering.rs
+++ b/crates/gateway/src/answering.rs
@@ -56,7 +56,7 @@
         if retry_allowed
             && knows_budget_share
             && self
-                .budgets
+                .retry_budgets
                 .take(&request.service, now, request.is_client_retry)
         {
             return self.retry(id, verdict, server, delay);
@@ -111,7 +111,7 @@
     /// target latency. Holding it any longer would use the time that the client needs for another try.
     fn meets_target(&self, request: &InFlightRequest, server: &InstanceId, at: Duration) -> bool {
         let instance = self.table.instance(server);
-        let expected = instance.map_or(Duration::ZERO, |one| self.balance.expected_time(one));
+        let expected = instance.map_or(Duration::ZERO, |one| self.load_balancer.expected_time(one));
         at + expected <= request.received_at + request.route.target_latency
     }
 
@@ -119,7 +119,7 @@
     /// server.
     fn capacity_after(&self, server: &InstanceId) -> Option<Duration> {
         let instance = self.table.instance(server)?;
-        Some(self.balance.capacity_after(instance))
+        Some(self.load_balancer.capacity_after(instance))
     }
 
     /// Whether the table names a server as the owner of a shard.
@@ -195,7 +195,7 @@
         };
         let state = request.state.clone();
         if let (InFlightState::Assigned { server, since, .. }, true) = (state, was_sent) {
-            self.balance
+            self.load_balancer
                 .timed_out(&server, now, now.saturating_sub(since));
             if reused {
                 self.drop_idle(&server);
@@ -241,7 +241,7 @@
         self.services_with_capacity.insert(request.service.clone());
         let took = now.saturating_sub(since);
         self.metrics.note_server(&request.service, took);
-        self.balance.end(&server, now);
+        self.load_balancer.end(&server, now);
         Some((server, since))
     }
 
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -103,8 +103,8 @@
     pub(crate) timers: Deadlines<Timer>,
     pub(crate) table: Table,
     pub(crate) splitter: Splitter,
-    pub(crate) balance: LoadBalancer,
-    pub(crate) budgets: RetryBudgets,
+    pub(crate) load_balancer: LoadBalancer,
+    pub(crate) retry_budgets: RetryBudgets,
     pub(crate) evacuations: Evacuations,
     pub(crate) warmup: WarmupTurns,
     pub(crate) stated_rates: StatedRates,
@@ -116,7 +116,7 @@
     pub(crate) crashes: CrashHistory,
     /// Estimate of the bytes queued on this machine's network link.
     pub(crate) link_queue: LinkQueue,
-    pub(crate) patience: ClientRetryDetector,
+    pub(crate) client_retries: ClientRetryDetector,
     pub(crate) random: SmallRng,
     pub(crate) directory: DirectoryClient,
     pub(crate) stopping: Option<Stopping>,
@@ -169,7 +169,7 @@
         let warmup = WarmupTurns::new(&settings.node);
         let stated_rates = StatedRates::new(&settings.node);
         let leaving = LeavingServers::new(settings.drain());
-        let budgets = RetryBudgets::new(bound, &settings.node);
+        let retry_budgets = RetryBudgets::new(bound, &settings.node);
         let link_queue = LinkQueue::new(settings.link_mbps);
         let table = Table::new(&settings.node, &settings.zone);
         Ok(Self {
@@ -195,8 +195,8 @@
             timers: Deadlines::default(),
             table,
             splitter: Splitter::default(),
-            balance: LoadBalancer::default(),
-            budgets,
+            load_balancer: LoadBalancer::default(),
+            retry_budgets,
             evacuations,
             warmup,
             stated_rates,
@@ -206,7 +206,7 @@
             load: LoadCounts::default(),
             crashes: CrashHistory::default(),
             link_queue,
-            patience: ClientRetryDetector::default(),
+            client_retries: ClientRetryDetector::default(),
             random: SmallRng::from_os_rng(),
             stopping: None,
             logged_ready: false,
@@ -411,8 +411,9 @@
                     TableChange::default()
                 }
                 Update::Gateways(count) => {
-                    self.budgets.set_gateways(count);
-                    self.balance.set_gateways(self.budgets.gateways());
+                    self.retry_budgets.set_gateways(count);
+                    self.load_balancer
+                        .set_gateways(self.retry_budgets.gateways());
                     TableChange::default()
                 }
             };
@@ -454,7 +455,7 @@
     /// settled.
     pub(crate) fn gateway_count(&self) -> Option<u32> {
         let is_known = self.directory.knows_gateway_count(self.now());
-        is_known.then(|| self.budgets.gateways())
+        is_known.then(|| self.retry_budgets.gateways())
     }
 
     fn apply_entries(&mut self, entries: &[(u64, grebepin_catalog::Entry)]) -> TableChange {
--- a/crates/gateway/src/forwarding.rs
+++ b/crates/gateway/src/forwarding.rs
@@ -138,7 +138,7 @@
         let service = route.targets[target].service.clone();
         let stated_timeout = incoming.stated_timeout;
         let is_client_retry = stated_timeout
-            .is_some_and(|stated_timeout| self.patience.is_retry(now, &name, stated_timeout));
+            .is_some_and(|stated_timeout| self.client_retries.is_retry(now, &name, stated_timeout));
         match self.admit(&incoming, &route, &service, is_client_retry, now) {
             Ok(()) => self.accept(incoming, name, route, service, is_client_retry),
             Err(refusal) => self.reject(&incoming, refusal),
@@ -209,7 +209,7 @@
         let key = incoming.key(&self.names);
         let is_sharded = self.table.is_sharded(&service);
         let shard = is_sharded.then(|| shard_of_key(key.unwrap_or_default()));
-        self.budgets.note_request(&service, now);
+        self.retry_budgets.note_request(&service, now);
         if let Some(shard) = shard {
             self.load.note_request(&service, shard);
         }
@@ -302,9 +302,9 @@
             Some(owner) if !warmup_allows(&self.table, &self.warmup, &owner, gateways, now) => {
                 self.refuse(id, Refusal::WarmingUp);
             }
-            Some(owner) if !self.balance.has_room(&owner.id, now) => {
+            Some(owner) if !self.load_balancer.has_room(&owner.id, now) => {
                 self.load.note_overload();
-                self.wait_for_capacity(id, self.balance.opens_at(&owner.id, now));
+                self.wait_for_capacity(id, self.load_balancer.opens_at(&owner.id, now));
             }
             Some(owner) if self.needs_permit(id, &owner.id) => self.request_permit(id, &owner),
             Some(owner) => self.send(id, &owner),
--- a/crates/gateway/src/housekeeping.rs
+++ b/crates/gateway/src/housekeeping.rs
@@ -59,7 +59,7 @@
         let leaving = &self.leaving;
         let is_used = |id: &InstanceId| table.is_live(id) && leaving.is_usable(id, now);
         let expired = self.upstreams.expired(now, is_used);
-        self.balance.retain(|id| table.is_live(id));
+        self.load_balancer.retain(|id| table.is_live(id));
         self.stated_rates.retain(|id| table.is_live(id));
         self.cooldowns.retain(now, |id| table.is_live(id));
         self.leaving.retain(|id| table.is_live(id));
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -55,10 +55,10 @@
         let staying = available
             .clone()
             .filter(|server| !leaving.is_leaving(&server.id));
-        let chosen = self.balance.choose(staying, zone, now, &mut random);
+        let chosen = self.load_balancer.choose(staying, zone, now, &mut random);
         let chosen = chosen.or_else(|| {
             let available = available.clone();
-            self.balance.choose(available, zone, now, &mut random)
+            self.load_balancer.choose(available, zone, now, &mut random)
         });
         if let Some(server) = chosen {
             return Some(Selection::Send(server.clone()));
@@ -67,7 +67,7 @@
             return Some(Selection::Refuse(Refusal::NoServer));
         }
         let none_available = available.clone().next().is_none();
-        let opens_at = available.filter_map(|server| self.balance.opens_at(&server.id, now));
+        let opens_at = available.filter_map(|server| self.load_balancer.opens_at(&server.id, now));
         let opens_at = opens_at.min();
         if !none_available {
             return Some(Selection::Wait { opens_at });
--- a/crates/gateway/src/sending.rs
+++ b/crates/gateway/src/sending.rs
@@ -63,11 +63,11 @@
             server: server.id.clone(),
             since: now,
         };
-        self.balance.begin(&server.id);
+        self.load_balancer.begin(&server.id);
         if server.is_cold {
             self.use_warmup_turn(server, now);
         }
-        let gateways = self.budgets.gateways();
+        let gateways = self.retry_budgets.gateways();
         if self.stated_rates.note_sent(&server.id, now, gateways) {
             self.metrics.sent_at_stated_rates.inc();
         }
@@ -86,14 +86,14 @@
     /// Uses up this gateway's current turn at a server that warms up.
     fn use_warmup_turn(&mut self, server: &Instance, now: Duration) {
         if let Some(rate) = self.table.warmup_rate(&server.service) {
-            let gateways = self.budgets.gateways();
+            let gateways = self.retry_budgets.gateways();
             self.warmup.note_sent(&server.id, now, rate, gateways);
         }
     }
 
     pub(crate) fn connect(&mut self, server: &Instance, now: Duration) -> Option<Token> {
         let limit = self.connection_limit(&server.service);
-        if self.balance.connections(&server.id) >= limit {
+        if self.load_balancer.connections(&server.id) >= limit {
             return None;
         }
         let address = server.address.parse().ok()?;
@@ -102,7 +102,7 @@
             Connection::connect(address, self.settings.bind_ip, self.poll.registry(), token)
                 .ok()?;
         connection.limit_silence(UNACKED_TIMEOUT);
-        self.balance.connection_opened(server);
+        self.load_balancer.connection_opened(server);
         let upstream = Upstream {
             connection,
             server: server.id.clone(),
@@ -124,7 +124,7 @@
     /// and at least [`MIN_CONNECTIONS`].
     pub(crate) fn connection_limit(&self, service: &str) -> u32 {
         let all = self.table.maximum_connections(service).unwrap_or(u32::MAX);
-        let share = f64::from(all) * CONNECTION_SHARE / f64::from(self.budgets.gateways());
+        let share = f64::from(all) * CONNECTION_SHARE / f64::from(self.retry_budgets.gateways());
         (share as u32).max(MIN_CONNECTIONS)
     }
 
@@ -165,7 +165,7 @@
             return;
         };
         let server = upstream.server;
-        let pause = self.balance.connection_failed(&server, now);
+        let pause = self.load_balancer.connection_failed(&server, now);
         self.metrics.note_suspected("no connection");
         event!(
             Event::ServerSuspected,
@@ -328,15 +328,15 @@
         match verdict {
             // The cooldown that the server asked for says more than the rejection does.
             Verdict::NotRun if self.cooldowns.remaining(server, now).is_some() => {}
-            Verdict::NotRun => self.balance.overloaded(server, now),
+            Verdict::NotRun => self.load_balancer.overloaded(server, now),
             Verdict::Failed => self
-                .balance
+                .load_balancer
                 .answered_with_failure(server, now.saturating_sub(since)),
             _ => {
                 let took = now.saturating_sub(since);
                 let target = request.route.target_latency;
-                self.balance.note_service_time(&request.service, took);
-                if self.balance.answered(server, now, took, target) {
+                self.load_balancer.note_service_time(&request.service, took);
+                if self.load_balancer.answered(server, now, took, target) {
                     event!(Event::ServerTrusted, instance = server);
                 }
             }
@@ -362,7 +362,7 @@
         if !response_began {
             self.probe_for_crash(id, &upstream.server);
         }
-        let pause = self.balance.connection_failed(&upstream.server, now);
+        let pause = self.load_balancer.connection_failed(&upstream.server, now);
         self.metrics.note_suspected("broke off");
         event!(
             Event::ServerSuspected,
@@ -384,7 +384,7 @@
 
     pub(crate) fn drop_upstream(&mut self, token: Token) -> Option<Upstream> {
         let upstream = self.upstreams.remove(token)?;
-        self.balance.connection_closed(&upstream.server);
+        self.load_balancer.connection_closed(&upstream.server);
         Some(upstream)
     }
 }
--- a/crates/gateway/src/statements.rs
+++ b/crates/gateway/src/statements.rs
@@ -53,7 +53,7 @@
             instance = server,
             ms = retry_after.as_millis()
         );
-        self.balance.cooldown_requested(server);
+        self.load_balancer.cooldown_requested(server);
         let instance = self.table.instance(server);
         if instance.is_some_and(|one| self.table.is_sharded(&one.service)) {
             self.load.note_cooldown(server, retry_after);
@@ -105,7 +105,7 @@
             instance = server,
             per_second = change.rate.unwrap_or(-1.0),
             before = change.before.unwrap_or(-1.0),
-            gateways = self.budgets.gateways()
+            gateways = self.retry_budgets.gateways()
         );
     }
 
