--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -1,4 +1,4 @@
-//! One non-blocking TCP connection with its buffers, registered edge-triggered.
+//! A non-blocking TCP connection with its buffers, registered for edge-triggered events.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{IpAddr, SocketAddr};
@@ -8,39 +8,39 @@
 use mio::{Interest, Registry, Token};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-/// Bytes asked for in one read.
+/// Bytes that are requested in one read.
 const READ_BYTES: usize = 16 << 10;
 
-/// Capacity above which an empty buffer is given back: the heads of a request or an answer fit into it. A gateway has some
-/// hundred connections and a replica over a thousand, most of them at rest.
+/// Capacity above which an empty buffer is freed. The heads of a request or a response fit into it. A gateway
+/// has some hundred connections and a replica more than a thousand, most of them idle.
 const KEPT_CAPACITY: usize = 1 << 10;
 
-/// How a read ended.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Everything that had arrived was taken.
+    /// All available bytes were read.
     Open,
-    /// The peer ended its side in order.
+    /// The peer closed its side.
     Closed,
-    /// More waits, but the buffer holds as much as was allowed.
+    /// More bytes are available, but the buffer has reached its limit.
     Full,
 }
 
-/// A connection.
+/// A non-blocking TCP connection.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    /// Bytes that arrived and were not used yet.
+    /// Received bytes that were not consumed yet.
     pub inbound: Vec<u8>,
     outbound: Vec<u8>,
     sent: usize,
 }
 
 impl Connection {
-    /// Takes over an accepted stream, or one that is connecting, and registers it under `token`.
+    /// Registers a stream, accepted or still connecting, under `token`.
     ///
     /// # Errors
-    /// The system refuses to register it.
+    /// The stream can't be registered.
     pub fn register(mut stream: TcpStream, registry: &Registry, token: Token) -> io::Result<Self> {
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
         let _ = stream.set_nodelay(true);
@@ -52,11 +52,11 @@
         })
     }
 
-    /// Begins to connect, from the address `source` where one is given, and registers the connection
-    /// under `token`.
+    /// Starts to connect, from the address `source` if it is given, and registers the connection under
+    /// `token`.
     ///
     /// # Errors
-    /// The system refuses at once, such as for want of descriptors.
+    /// The connection fails immediately, for example because no file descriptors are left.
     pub fn connect(
         address: SocketAddr,
         source: Option<IpAddr>,
@@ -70,10 +70,10 @@
         Self::register(stream, registry, token)
     }
 
-    /// Whether a connection that was begun is up: `Ok(false)` while it still connects.
+    /// Whether the connection is established; `Ok(false)` while it is still connecting.
     ///
     /// # Errors
-    /// It was refused or reset.
+    /// The connection was refused or reset.
     pub fn check_connected(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
@@ -85,17 +85,18 @@
         }
     }
 
-    /// Gives the connection up once bytes stay unacknowledged for `limit`.
+    /// Sets `TCP_USER_TIMEOUT`: the connection fails once sent bytes stay unacknowledged for `limit`.
     pub fn limit_silence(&self, limit: Duration) {
         let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(limit));
     }
 
-    /// Reads what has arrived, up to `limit` bytes in the buffer.
+    /// Reads available bytes until the buffer holds at least `limit`.
     ///
     /// # Errors
     /// The connection was reset or timed out.
     pub fn fill(&mut self, limit: usize) -> io::Result<ReadOutcome> {
-        // Read past the connection's own buffer, which so holds no more than what came.
+        // Reads into a buffer on the stack, so that the connection's own buffer grows only by what was
+        // received.
         let mut bytes = [0; READ_BYTES];
         loop {
             if self.inbound.len() >= limit {
@@ -105,7 +106,7 @@
                 Ok(0) => return Ok(ReadOutcome::Closed),
                 Ok(count) => {
                     self.inbound.extend_from_slice(&bytes[..count]);
-                    // A read that leaves room emptied the socket; what comes later is a new event.
+                    // A short read emptied the socket; later bytes cause a new event.
                     if count < READ_BYTES {
                         return Ok(ReadOutcome::Open);
                     }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Gives memory back when the buffers are empty.
+    /// Frees empty buffers that have grown.
     pub fn trim(&mut self) {
         if self.inbound.is_empty() && self.inbound.capacity() > KEPT_CAPACITY {
             self.inbound = Vec::new();
@@ -129,27 +130,27 @@
         }
     }
 
-    /// Bytes of memory that the buffers take, used or not.
+    /// Capacity of both buffers in bytes.
     pub fn held_bytes(&self) -> usize {
         self.inbound.capacity() + self.outbound.capacity()
     }
 
-    /// Adds bytes to what is to be sent; [`Connection::flush`] sends them.
+    /// Appends bytes to the output; [`Connection::flush`] sends them.
     pub fn queue(&mut self, bytes: &[u8]) {
         self.outbound.extend_from_slice(bytes);
     }
 
-    /// Buffer of what is to be sent, to be written in place.
+    /// The output buffer, for writing in place.
     pub fn outbound(&mut self) -> &mut Vec<u8> {
         &mut self.outbound
     }
 
-    /// Bytes that were queued and not taken by the system yet.
+    /// Bytes of output that were not yet written to the socket.
     pub fn unsent(&self) -> usize {
         self.outbound.len() - self.sent
     }
 
-    /// Sends as much as the system takes; whether everything was taken.
+    /// Writes as much output as the socket accepts; returns whether all of it was written.
     ///
     /// # Errors
     /// The connection was reset or timed out.
@@ -169,12 +170,12 @@
         Ok(true)
     }
 
-    /// Ends the sending side, so that the peer sees an orderly end after what was sent.
+    /// Shuts the sending side down, so that the peer sees an orderly end after the bytes that were sent.
     pub fn shut_down_write(&self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 
-    /// Address of the peer, where it is known.
+    /// Address of the peer; `None` if it is not known.
     pub fn peer(&self) -> Option<SocketAddr> {
         self.stream.peer_addr().ok()
     }
@@ -197,5 +198,5 @@
     Ok(TcpStream::from_std(socket.into()))
 }
 
-/// Error number of a connection that is not up yet (`EINPROGRESS` on Linux).
+/// Error number of a connection that is still being established (`EINPROGRESS` on Linux).
 const CONNECTION_IN_PROGRESS: i32 = 115;
--- a/crates/reactor/src/deadlines.rs
+++ b/crates/reactor/src/deadlines.rs
@@ -1,10 +1,11 @@
-//! Deadlines in the order in which they fall due.
+//! A priority queue of deadlines.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// A queue of deadlines; one that no longer matters is recognised by its key when it falls due.
+/// Deadlines in order of time. They can't be cancelled: the caller recognises an obsolete one by its key when
+/// it is due.
 #[derive(Debug)]
 pub struct Deadlines<K: Ord> {
     heap: BinaryHeap<Reverse<(Duration, K)>>,
@@ -19,17 +20,17 @@
 }
 
 impl<K: Ord> Deadlines<K> {
-    /// Adds a deadline.
+    /// Adds a deadline at the time `at`.
     pub fn add(&mut self, at: Duration, key: K) {
         self.heap.push(Reverse((at, key)));
     }
 
-    /// The earliest deadline.
+    /// Time of the earliest deadline; `None` when there is none.
     pub fn next(&self) -> Option<Duration> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the earliest deadline that is due at `now`.
+    /// Removes the earliest deadline and returns its key, if it is due at `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<K> {
         if self.next()? > now {
             return None;
--- a/crates/reactor/src/frames.rs
+++ b/crates/reactor/src/frames.rs
@@ -1,23 +1,23 @@
-//! Frames between daemons: a length of four bytes, big endian, then a MessagePack value.
+//! Frames between daemons: a length of four bytes in big-endian order, then a MessagePack value.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
 const PREFIX_BYTES: usize = 4;
 
-/// Longest frame taken in or sent, in bytes.
+/// Largest frame that is sent or accepted, in bytes.
 pub const MAXIMUM_FRAME_BYTES: usize = 64 << 20;
 
-/// Why bytes are no frame.
+/// Why a frame can't be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The frame announces more than the limit.
+    /// The frame is larger than [`MAXIMUM_FRAME_BYTES`].
     #[error("frame of {bytes} bytes is over the limit of {MAXIMUM_FRAME_BYTES}")]
     TooLong {
-        /// Announced length.
+        /// Length of the frame.
         bytes: usize,
     },
-    /// The bytes are no value of the expected type.
+    /// The bytes do not decode to the expected type.
     #[error("frame does not decode: {0}")]
     Decode(#[from] rmp_serde::decode::Error),
     /// The value can't be encoded.
@@ -28,7 +28,7 @@
 /// Appends a value as a frame.
 ///
 /// # Errors
-/// The value can't be encoded or is too long; nothing is appended then.
+/// The value can't be encoded or is too large. Nothing is appended in this case.
 pub fn encode_frame<T: Serialize>(value: &T, out: &mut Vec<u8>) -> Result<(), FrameError> {
     let start = out.len();
     out.extend_from_slice(&[0; PREFIX_BYTES]);
@@ -45,10 +45,10 @@
     Ok(())
 }
 
-/// Takes the first whole frame's value out of a buffer; `None` while it is incomplete.
+/// Removes the first frame from a buffer and decodes it; `None` while it is incomplete.
 ///
 /// # Errors
-/// The bytes are no frame; the connection is of no further use.
+/// The frame is too large or does not decode; the connection is unusable.
 pub fn take_frame<T: DeserializeOwned>(buffer: &mut Vec<u8>) -> Result<Option<T>, FrameError> {
     let Some(prefix) = buffer.first_chunk::<PREFIX_BYTES>() else {
         return Ok(None);
@@ -66,10 +66,10 @@
     Ok(Some(value))
 }
 
-/// Decodes the value of a frame without its length.
+/// Decodes the value of a frame, without the length prefix.
 ///
 /// # Errors
-/// The bytes are no value of the expected type.
+/// The bytes do not decode to the expected type.
 pub fn decode_frame<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
     Ok(rmp_serde::from_slice(bytes)?)
 }
--- a/crates/reactor/src/http/body.rs
+++ b/crates/reactor/src/http/body.rs
@@ -1,31 +1,31 @@
-//! Bodies: of a stated length, in chunks, or up to the end of the connection.
+//! Message bodies: with a length, chunked, or delimited by the end of the connection.
 
-/// Longest line of a chunk's size or of a trailer.
+/// Longest line of a chunk size or a trailer.
 const MAXIMUM_LINE_BYTES: usize = 4_096;
 
-/// How a body's end is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// After the last chunk.
+    /// The body ends with the last chunk.
     Chunked,
-    /// With the connection.
+    /// The body ends with the connection.
     UntilClose,
 }
 
-/// Why a body is of no use.
+/// Why a body is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is longer than the limit.
+    /// The body is longer than the limit.
     #[error("body is over the limit")]
     TooLong,
-    /// A chunk does not read as one.
+    /// A chunk is malformed.
     #[error("malformed chunk")]
     MalformedChunk,
 }
 
-/// Where a chunked body stands.
+/// Part of a chunked body that is expected next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Chunk {
     Size,
@@ -34,18 +34,18 @@
     Trailer,
 }
 
-/// Takes a body in, piece by piece.
+/// Reads a body incrementally.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
     chunk: Chunk,
     limit: u64,
-    /// What was taken in so far.
+    /// The part of the body that was read so far.
     pub body: Vec<u8>,
 }
 
 impl BodyReader {
-    /// A body of at most `limit` bytes.
+    /// Creates a reader of a body of at most `limit` bytes.
     pub fn new(framing: Framing, limit: u64) -> Self {
         Self {
             framing,
@@ -55,10 +55,10 @@
         }
     }
 
-    /// Takes what belongs to the body out of the buffer; whether the body is whole.
+    /// Consumes the bytes in the buffer that belong to the body; returns whether the body is complete.
     ///
     /// # Errors
-    /// The body is too long or malformed; the connection is of no further use.
+    /// The body is too long or malformed; the connection is unusable.
     pub fn take(&mut self, buffer: &mut Vec<u8>) -> Result<bool, BodyError> {
         match self.framing {
             Framing::Length(length) if length > self.limit => Err(BodyError::TooLong),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether an orderly end of the connection makes the body whole.
+    /// Whether the body is complete when the connection is closed in order.
     pub fn ends_with_connection(&self) -> bool {
         self.framing == Framing::UntilClose
     }
@@ -150,7 +150,8 @@
     }
 }
 
-/// The first line without its end; `None` while it is incomplete.
+/// The first line without its line ending; `None` while it is incomplete. Adds the length of the line to
+/// `used`.
 fn take_line<'a>(bytes: &'a [u8], used: &mut usize) -> Result<Option<&'a [u8]>, BodyError> {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
         return match bytes.len() > MAXIMUM_LINE_BYTES {
--- a/crates/reactor/src/http/fields.rs
+++ b/crates/reactor/src/http/fields.rs
@@ -1,11 +1,11 @@
-//! Header fields of one message.
+//! Header fields of a message.
 
 use std::ops::Range;
 
-/// Most header fields of one message.
+/// Largest number of header fields in a message.
 pub(super) const MAXIMUM_FIELDS: usize = 100;
 
-/// Fields that concern one connection only and are never passed on.
+/// Hop-by-hop fields and those that describe the framing; they are never forwarded.
 const CONNECTION_FIELDS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -18,14 +18,14 @@
     "expect",
 ];
 
-/// Whether a field concerns one connection, or the framing on it.
+/// Whether a field is hop-by-hop or describes the framing.
 pub fn is_connection_field(name: &str) -> bool {
     CONNECTION_FIELDS
         .iter()
         .any(|field| field.eq_ignore_ascii_case(name))
 }
 
-/// Header fields, in the order in which they came.
+/// Header fields in the order of the message.
 #[derive(Clone, Debug, Default)]
 pub struct Fields {
     text: Vec<u8>,
@@ -41,7 +41,7 @@
         fields
     }
 
-    /// Adds a field.
+    /// Appends a field.
     pub fn push(&mut self, name: &str, value: &[u8]) {
         let name = self.append(name.as_bytes());
         let value = self.append(value);
@@ -58,7 +58,7 @@
         &self.text[range.start as usize..range.end as usize]
     }
 
-    /// All fields.
+    /// All fields with their values.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|(name, value)| {
             let name = std::str::from_utf8(self.slice(name)).unwrap_or_default();
@@ -66,20 +66,20 @@
         })
     }
 
-    /// Values of all fields of a name.
+    /// Values of all fields with a name, which is compared without regard to case.
     pub fn all<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a [u8]> + use<'a, 'n> {
         self.iter()
             .filter(move |(field, _)| field.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// Value of the first field of a name, when it is text.
+    /// Value of the first field with a name; `None` if there is none or it is not UTF-8.
     pub fn get(&self, name: &str) -> Option<&str> {
         let value = self.all(name).next()?;
         std::str::from_utf8(value).ok().map(str::trim)
     }
 
-    /// Whether a comma-separated field names a token.
+    /// Whether a comma-separated field contains a token.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| {
             let text = std::str::from_utf8(value).unwrap_or_default();
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Fields that may be passed on: neither a connection's own nor named in `Connection`.
+    /// Fields that may be forwarded: neither hop-by-hop nor named in `Connection`.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &[u8])> {
         let names_fields = self.all("connection").any(|value| {
             !value.eq_ignore_ascii_case(b"close") && !value.eq_ignore_ascii_case(b"keep-alive")
--- a/crates/reactor/src/http/mod.rs
+++ b/crates/reactor/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 messages, read whole.
+//! Parsers of HTTP/1.1 messages, which return complete messages only.
 //!
-//! Invariants: a message whose length is stated twice, or in a way that two readers could take
-//! differently, is refused; an answer that ends with its connection is whole only after an
-//! orderly end.
+//! Invariants: a message whose length is stated twice, or in a way that two parsers could read differently,
+//! is rejected. A response that is delimited by the end of its connection is complete only after an orderly
+//! close.
 
 mod body;
 mod fields;
--- a/crates/reactor/src/http/request.rs
+++ b/crates/reactor/src/http/request.rs
@@ -1,51 +1,51 @@
-//! Requests as a server reads them.
+//! Parser of requests.
 
 use super::body::{BodyError, BodyReader, Framing};
 use super::fields::{Fields, MAXIMUM_FIELDS};
 
-/// Bounds on one request.
+/// Limits on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Bytes of its head.
+    /// Largest head in bytes.
     pub head_bytes: usize,
-    /// Bytes of its body.
+    /// Largest body in bytes.
     pub body_bytes: u64,
 }
 
-/// One whole request.
+/// A complete request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Method.
+    /// Method, in the spelling of the request.
     pub method: String,
-    /// Path and query, as they were sent.
+    /// Path and query as they were sent.
     pub target: String,
-    /// Header fields.
+    /// Header fields of the request.
     pub fields: Fields,
-    /// Body, without its framing.
+    /// Body without its transfer coding.
     pub body: Vec<u8>,
-    /// Whether the client keeps the connection for a next request.
+    /// Whether the client keeps the connection open for another request.
     pub keeps_alive: bool,
 }
 
-/// Why a request is refused.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadRequest {
-    /// The head does not read as HTTP/1.
+    /// The head is not valid HTTP/1.
     #[error("malformed head")]
     MalformedHead,
     /// The head is longer than the limit.
     #[error("head is over the limit")]
     HeadTooLong,
-    /// The length of the body is stated in no way, or in two.
+    /// The length of the body is stated more than once or in an unsupported way.
     #[error("ambiguous length")]
     AmbiguousLength,
-    /// The body is of no use.
+    /// The body is rejected.
     #[error(transparent)]
     Body(#[from] BodyError),
 }
 
 impl BadRequest {
-    /// Status that tells the client.
+    /// Status code of the response to such a request.
     pub fn status(self) -> u16 {
         match self {
             Self::HeadTooLong => 431,
@@ -55,51 +55,51 @@
     }
 }
 
-/// Reads the requests of one connection.
+/// Parser of the requests on one connection.
 #[derive(Debug, Default)]
 pub struct RequestReader {
-    begun: Option<(Request, BodyReader)>,
-    asked_to_continue: bool,
+    partial: Option<(Request, BodyReader)>,
+    continue_reported: bool,
 }
 
 impl RequestReader {
-    /// Takes the next whole request out of the buffer; `None` while it is incomplete.
+    /// Removes the next complete request from the buffer; `None` while it is incomplete.
     ///
     /// # Errors
-    /// The request is refused; the connection is of no further use.
+    /// The request is rejected; the connection is unusable.
     pub fn take(
         &mut self,
         buffer: &mut Vec<u8>,
         limits: RequestLimits,
     ) -> Result<Option<Request>, BadRequest> {
-        if self.begun.is_none() {
-            self.begun = take_head(buffer, limits)?;
+        if self.partial.is_none() {
+            self.partial = take_head(buffer, limits)?;
         }
-        let Some((_, body)) = &mut self.begun else {
+        let Some((_, body)) = &mut self.partial else {
             return Ok(None);
         };
         if !body.take(buffer)? {
             return Ok(None);
         }
-        self.asked_to_continue = false;
-        Ok(self.begun.take().map(|(mut request, body)| {
+        self.continue_reported = false;
+        Ok(self.partial.take().map(|(mut request, body)| {
             request.body = body.body;
             request
         }))
     }
 
-    /// Whether some of a request has been read, and not all.
+    /// Whether a request was read in part.
     pub fn is_within(&self) -> bool {
-        self.begun.is_some()
+        self.partial.is_some()
     }
 
-    /// Whether the client waits to be told to send the body; true once for each request.
+    /// Whether the client waits for `100 Continue` before it sends the body; true at most once per request.
     pub fn wants_continue(&mut self) -> bool {
         let waits = self
-            .begun
+            .partial
             .as_ref()
             .is_some_and(|(request, _)| request.fields.has_token("expect", "100-continue"));
-        waits && !std::mem::replace(&mut self.asked_to_continue, true)
+        waits && !std::mem::replace(&mut self.continue_reported, true)
     }
 }
 
@@ -156,7 +156,7 @@
     coding.eq_ignore_ascii_case("chunked")
 }
 
-/// The one length that the fields state; `None` when they state none.
+/// The length in `Content-Length`; `None` without that field.
 pub(super) fn stated_length(fields: &Fields) -> Result<Option<u64>, BadRequest> {
     let mut stated = None;
     for value in fields.all("content-length") {
--- a/crates/reactor/src/http/response.rs
+++ b/crates/reactor/src/http/response.rs
@@ -1,69 +1,69 @@
-//! Answers as a client reads them.
+//! Parser of responses.
 
 use super::body::{BodyError, BodyReader, Framing};
 use super::fields::{Fields, MAXIMUM_FIELDS};
 use super::request::stated_length;
 
-/// Longest head of an answer, in bytes.
+/// Largest head of a response in bytes.
 const MAXIMUM_HEAD_BYTES: usize = 64 << 10;
 
-/// One whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// Header fields.
+    /// Header fields of the response.
     pub fields: Fields,
-    /// Body, without its framing.
+    /// Body without its transfer coding.
     pub body: Vec<u8>,
-    /// Whether the server keeps the connection for a next request.
+    /// Whether the server keeps the connection open for another request.
     pub keeps_alive: bool,
 }
 
-/// Why bytes are no answer.
+/// Why a response is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadResponse {
-    /// The head does not read as HTTP/1.
+    /// The head is not valid HTTP/1.
     #[error("malformed head")]
     MalformedHead,
-    /// The length of the body is stated in two ways.
+    /// The length of the body is stated more than once or in an unsupported way.
     #[error("ambiguous length")]
     AmbiguousLength,
-    /// The connection ended within the answer.
+    /// The connection was closed before the response was complete.
     #[error("answer was cut off")]
     CutOff,
-    /// The body is of no use.
+    /// The body is rejected.
     #[error(transparent)]
     Body(#[from] BodyError),
 }
 
-/// Reads the answers of one connection.
+/// Parser of the responses on one connection.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    begun: Option<(Response, BodyReader)>,
+    partial: Option<(Response, BodyReader)>,
 }
 
 impl ResponseReader {
-    /// Takes the next whole answer out of the buffer; `None` while it is incomplete. `has_body` is
-    /// false for the answer to a request whose method has none.
+    /// Removes the next complete response from the buffer; `None` while it is incomplete. `has_body` is false
+    /// for the response to a request whose method has none.
     ///
     /// # Errors
-    /// The bytes are no answer; the connection is of no further use.
+    /// The response is rejected; the connection is unusable.
     pub fn take(
         &mut self,
         buffer: &mut Vec<u8>,
         has_body: bool,
         limit: u64,
     ) -> Result<Option<Response>, BadResponse> {
-        while self.begun.is_none() {
+        while self.partial.is_none() {
             match take_head(buffer, has_body, limit)? {
                 None => return Ok(None),
-                // An interim answer says nothing of the request's outcome.
+                // An interim response says nothing about the outcome of the request.
                 Some((head, _)) if (100..200).contains(&head.status) => {}
-                head => self.begun = head,
+                head => self.partial = head,
             }
         }
-        let Some((_, body)) = &mut self.begun else {
+        let Some((_, body)) = &mut self.partial else {
             return Ok(None);
         };
         match body.take(buffer)? {
@@ -72,12 +72,13 @@
         }
     }
 
-    /// Tells that the connection ended in order: the answer that ends with it, if one was under way.
+    /// Handles an orderly close of the connection. Returns the response that is delimited by it, if one was
+    /// being read.
     ///
     /// # Errors
-    /// The end came within an answer.
+    /// The connection was closed before the response was complete.
     pub fn end(&mut self, rest: &[u8]) -> Result<Option<Response>, BadResponse> {
-        match &self.begun {
+        match &self.partial {
             Some((_, body)) if body.ends_with_connection() => Ok(self.finish()),
             Some(_) => Err(BadResponse::CutOff),
             None if !rest.is_empty() => Err(BadResponse::CutOff),
@@ -85,13 +86,13 @@
         }
     }
 
-    /// Whether the head of an answer has been read.
+    /// Whether the head of a response was read and its body is incomplete.
     pub fn is_within(&self) -> bool {
-        self.begun.is_some()
+        self.partial.is_some()
     }
 
     fn finish(&mut self) -> Option<Response> {
-        self.begun.take().map(|(mut response, body)| {
+        self.partial.take().map(|(mut response, body)| {
             if body.ends_with_connection() {
                 response.keeps_alive = false;
             }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,8 +1,8 @@
-//! Plumbing of the daemons that serve all their connections from one thread: non-blocking
-//! connections, HTTP/1.1 messages, frames, and deadlines.
+//! Building blocks of daemons that serve all connections from one thread: non-blocking connections, HTTP/1.1
+//! messages, frames and deadlines.
 //!
-//! Invariants: nothing here waits; a message is handed out only once it is whole and unambiguous;
-//! no buffer grows past the limit that the caller states.
+//! Invariants: no function blocks. A message is returned only once it is complete and unambiguous. No buffer
+//! grows beyond the caller's limit by more than one read.
 
 mod clock;
 mod connection;
--- a/crates/reactor/src/packing.rs
+++ b/crates/reactor/src/packing.rs
@@ -1,4 +1,4 @@
-//! Compression of long messages between daemons.
+//! Compression of large messages between daemons.
 
 use std::io::{self, Read, Write};
 
@@ -6,20 +6,20 @@
 use flate2::write::DeflateEncoder;
 use flate2::Compression;
 
-/// Compresses bytes, for speed rather than for size.
+/// Compresses bytes with DEFLATE at its fastest level.
 ///
 /// # Errors
-/// Never for bytes in memory; the library's interface allows it.
+/// None for bytes in memory; the signature is that of the library.
 pub fn pack(bytes: &[u8]) -> io::Result<Vec<u8>> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(bytes)?;
     encoder.finish()
 }
 
-/// The bytes that were compressed, at most `limit` of them.
+/// Decompresses bytes; the result is at most `limit` bytes long.
 ///
 /// # Errors
-/// The bytes are not compressed, or hold more than the limit.
+/// The input is not valid DEFLATE data, or holds more than `limit` bytes.
 pub fn unpack(packed: &[u8], limit: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     let mut decoder = DeflateDecoder::new(packed).take(limit as u64 + 1);
--- a/crates/reactor/src/text_server.rs
+++ b/crates/reactor/src/text_server.rs
@@ -1,6 +1,6 @@
-//! A small HTTP server within an event loop, for readiness and metrics.
+//! A small HTTP server that runs within an event loop and serves readiness checks and metrics.
 //!
-//! Invariant: it holds a bounded number of connections, and one that rests is closed after a while.
+//! Invariant: the number of connections is bounded, and idle ones are closed.
 
 use std::collections::HashMap;
 use std::io;
@@ -13,13 +13,13 @@
 use crate::connection::{Connection, ReadOutcome};
 use crate::http::{RequestLimits, RequestReader};
 
-/// Connections at a time; further ones are closed at once.
-const CONNECTION_LIMIT: usize = 64;
+/// Largest number of connections; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 64;
 
-/// Rest after which a connection is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(15);
+/// Idle time after which a connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Bytes of a request that are taken in.
+/// Bytes of requests that are buffered for one connection.
 const BUFFER_LIMIT: usize = 16 << 10;
 
 const LIMITS: RequestLimits = RequestLimits {
@@ -27,12 +27,12 @@
     body_bytes: 8 << 10,
 };
 
-/// An answer.
+/// A plain-text response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TextAnswer {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body, as plain text.
+    /// Body of the response.
     pub body: String,
 }
 
@@ -40,10 +40,10 @@
 struct Client {
     connection: Connection,
     reader: RequestReader,
-    active: Duration,
+    last_active: Duration,
 }
 
-/// The server.
+/// A listener with its client connections.
 #[derive(Debug)]
 pub struct TextServer {
     listener: TcpListener,
@@ -52,10 +52,10 @@
 }
 
 impl TextServer {
-    /// Listens at an address; `token` names the listener.
+    /// Listens at an address; `token` identifies the listener.
     ///
     /// # Errors
-    /// The address is taken or not of this machine.
+    /// The address can't be bound.
     pub fn listen(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Self> {
         let mut listener = TcpListener::bind(address)?;
         registry.register(&mut listener, token, Interest::READABLE)?;
@@ -69,7 +69,7 @@
     /// Listens at a port of an address; `None` for port 0.
     ///
     /// # Errors
-    /// The address is taken or not of this machine.
+    /// The address can't be bound.
     pub fn listen_at(
         ip: IpAddr,
         port: u16,
@@ -82,37 +82,36 @@
         }
     }
 
-    /// Whether a token is the listener's or a connection's.
+    /// Whether a token belongs to the listener or to one of its connections.
     pub fn owns(&self, token: Token) -> bool {
         token == self.token || self.clients.contains_key(&token)
     }
 
-    /// Handles what happened on a token; `answer` is asked for each request. Tokens from `next_token` on
-    /// are free.
+    /// Handles an event; `respond` is called for each request. Tokens from `next_token` on are free.
     pub fn on_event(
         &mut self,
         now: Duration,
         token: Token,
         registry: &Registry,
         next_token: &mut usize,
-        answer: impl Fn() -> TextAnswer,
+        respond: impl Fn() -> TextAnswer,
     ) {
         if token == self.token {
             self.accept(now, registry, next_token);
-        } else if !self.serve(now, token, answer) {
+        } else if !self.serve(now, token, respond) {
             self.clients.remove(&token);
         }
     }
 
-    /// Closes connections that rest.
+    /// Closes connections that have been idle for too long.
     pub fn close_resting(&mut self, now: Duration) {
         self.clients
-            .retain(|_, client| now < client.active + IDLE_LIMIT);
+            .retain(|_, client| now < client.last_active + IDLE_TIMEOUT);
     }
 
     fn accept(&mut self, now: Duration, registry: &Registry, next_token: &mut usize) {
         while let Ok((stream, _)) = self.listener.accept() {
-            if self.clients.len() >= CONNECTION_LIMIT {
+            if self.clients.len() >= MAX_CONNECTIONS {
                 continue;
             }
             let token = Token(*next_token);
@@ -121,32 +120,32 @@
                 let client = Client {
                     connection,
                     reader: RequestReader::default(),
-                    active: now,
+                    last_active: now,
                 };
                 self.clients.insert(token, client);
             }
         }
     }
 
-    /// Answers the whole requests of a connection; whether it is still of use.
-    fn serve(&mut self, now: Duration, token: Token, answer: impl Fn() -> TextAnswer) -> bool {
+    /// Answers the complete requests of a connection; returns whether it is still usable.
+    fn serve(&mut self, now: Duration, token: Token, respond: impl Fn() -> TextAnswer) -> bool {
         let Some(client) = self.clients.get_mut(&token) else {
             return false;
         };
-        client.active = now;
+        client.last_active = now;
         let outcome = client.connection.fill(BUFFER_LIMIT);
         loop {
             match client.reader.take(&mut client.connection.inbound, LIMITS) {
                 Ok(None) => break,
                 Ok(Some(_)) => {
-                    let answer = answer();
+                    let response = respond();
                     let head = format!(
                         "HTTP/1.1 {} Status\r\nContent-Type: text/plain; version=0.0.4\r\nContent-Length: {}\r\n\r\n",
-                        answer.status,
-                        answer.body.len()
+                        response.status,
+                        response.body.len()
                     );
                     client.connection.queue(head.as_bytes());
-                    client.connection.queue(answer.body.as_bytes());
+                    client.connection.queue(response.body.as_bytes());
                 }
                 Err(_) => return false,
             }
--- a/crates/reactor/tests/clock.rs
+++ b/crates/reactor/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the daemons, and what it shows of a process that stood still.
+//! The daemons' clock, and the detection of a stalled event loop.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use rustix::time::{clock_gettime, ClockId};
 
 #[test]
-fn the_clock_goes_by_the_time_since_boot_suspensions_included() {
+fn the_clock_follows_boot_time_including_suspensions() {
     let boot = || Duration::try_from(clock_gettime(ClockId::Boottime)).expect("after boot");
     let before = boot();
     let clock = Clock::start();
@@ -22,19 +22,19 @@
 }
 
 #[test]
-fn a_loop_that_stood_still_is_noticed_once() {
+fn a_stalled_loop_is_reported_once() {
     let mut watch = StandstillWatch::default();
     let seconds = Duration::from_secs_f64;
-    let looks = [
+    let checks = [
         (0.1, None),
         (0.2, None),
         (0.9, None),
         (3.9, Some(3.0)),
         (4.0, None),
     ];
-    for (at, stood) in looks {
+    for (at, stall) in checks {
         let seen = watch.look(seconds(at));
-        let seen = seen.map(|stood| stood.as_secs_f64().round());
-        assert_eq!(seen, stood, "at {at}");
+        let seen = seen.map(|stall| stall.as_secs_f64().round());
+        assert_eq!(seen, stall, "at {at}");
     }
 }
--- a/crates/reactor/tests/connection.rs
+++ b/crates/reactor/tests/connection.rs
@@ -1,4 +1,4 @@
-//! What a connection keeps in memory.
+//! Memory that a connection holds.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 use grebepin_reactor::{Connection, ReadOutcome};
 use mio::{Poll, Token};
 
-/// Both ends of a connection over loopback; the first is the reactor's.
+/// Both ends of a connection over loopback; the first is the tested one.
 fn pair(poll: &Poll) -> (Connection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let other = TcpStream::connect(listener.local_addr().expect("bound")).expect("up");
@@ -17,7 +17,7 @@
     (connection, other)
 }
 
-/// Reads until so many bytes have arrived.
+/// Reads until at least `bytes` bytes were received.
 fn fill(connection: &mut Connection, bytes: usize) {
     while connection.inbound.len() < bytes {
         let outcome = connection.fill(1 << 20).expect("read");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_connection_that_rests_gives_its_memory_back() {
+fn an_idle_connection_frees_large_buffers() {
     let poll = Poll::new().expect("a poll");
     let (mut connection, mut other) = pair(&poll);
     for message_bytes in [600, 5_000, 60_000] {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_buffer_holds_about_what_came_and_not_what_might_have_come() {
+fn a_buffer_grows_only_by_the_received_bytes() {
     let poll = Poll::new().expect("a poll");
     let (mut connection, mut other) = pair(&poll);
     other.write_all(&[7; 500]).expect("written");
--- a/crates/reactor/tests/frames.rs
+++ b/crates/reactor/tests/frames.rs
@@ -1,9 +1,9 @@
-//! Frames: whole, in pieces, too long, and no frames at all.
+//! Frames: complete, fragmented, too large, and malformed.
 
 use grebepin_reactor::{encode_frame, take_frame, FrameError, MAXIMUM_FRAME_BYTES};
 
 #[test]
-fn frames_come_out_as_they_went_in_however_they_are_cut() {
+fn frames_round_trip_however_they_are_fragmented() {
     let mut bytes = Vec::new();
     encode_frame(&"first".to_owned(), &mut bytes).expect("encodes");
     encode_frame(&"second".to_owned(), &mut bytes).expect("encodes");
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn a_frame_over_the_limit_is_refused_before_it_is_read() {
+fn a_frame_over_the_limit_is_rejected_by_its_length_prefix() {
     let mut buffer = ((MAXIMUM_FRAME_BYTES + 1) as u32).to_be_bytes().to_vec();
     let refused = take_frame::<String>(&mut buffer);
     assert!(matches!(refused, Err(FrameError::TooLong { .. })));
 }
 
 #[test]
-fn bytes_of_another_type_are_refused() {
+fn bytes_of_another_type_are_rejected() {
     let mut buffer = Vec::new();
     encode_frame(&7_u64, &mut buffer).expect("encodes");
     assert!(matches!(
--- a/crates/reactor/tests/http.rs
+++ b/crates/reactor/tests/http.rs
@@ -1,4 +1,4 @@
-//! Requests and answers: whole, cut, ambiguous, in pieces.
+//! Requests and responses: complete, truncated, ambiguous and fragmented.
 
 use grebepin_reactor::http::{
     BadRequest, BadResponse, BodyError, Request, RequestLimits, RequestReader, Response,
@@ -11,36 +11,36 @@
     body_bytes: 10_000,
 };
 
-fn read(bytes: &[u8]) -> Result<Option<Request>, BadRequest> {
+fn read_request(bytes: &[u8]) -> Result<Option<Request>, BadRequest> {
     RequestReader::default().take(&mut bytes.to_vec(), LIMITS)
 }
 
-fn answer(bytes: &[u8]) -> Result<Option<Response>, BadResponse> {
+fn read_response(bytes: &[u8]) -> Result<Option<Response>, BadResponse> {
     let mut buffer = bytes.to_vec();
     ResponseReader::default().take(&mut buffer, true, 10_000)
 }
 
 #[test]
-fn a_request_with_a_length_is_whole_with_its_last_byte() {
+fn a_request_with_a_length_is_complete_with_its_last_byte() {
     let bytes = b"POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody";
-    let request = read(bytes).expect("well formed").expect("whole");
+    let request = read_request(bytes).expect("well formed").expect("whole");
     assert_eq!(request.target, "/a/b?c=d");
     assert_eq!(request.body, b"body");
     assert!(request.keeps_alive);
-    assert!(read(&bytes[..bytes.len() - 1])
+    assert!(read_request(&bytes[..bytes.len() - 1])
         .expect("well formed")
         .is_none());
 }
 
 #[test]
-fn chunks_are_joined_and_trailers_passed_over() {
+fn chunks_are_joined_and_trailers_skipped() {
     let bytes = b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n";
-    let request = read(bytes).expect("well formed").expect("whole");
+    let request = read_request(bytes).expect("well formed").expect("whole");
     assert_eq!(request.body, b"abcde");
 }
 
 #[test]
-fn what_two_readers_could_take_differently_is_refused() {
+fn ambiguous_or_malformed_framing_is_rejected() {
     let ambiguous: [&[u8]; 5] = [
         b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx",
         b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nx",
@@ -49,7 +49,7 @@
         b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     ];
     for bytes in ambiguous {
-        let error = read(bytes).expect_err("ambiguous");
+        let error = read_request(bytes).expect_err("ambiguous");
         assert_eq!(error, BadRequest::AmbiguousLength);
         assert_eq!(error.status(), 400);
     }
@@ -60,23 +60,26 @@
     ];
     for bytes in malformed {
         assert_eq!(
-            read(bytes).expect_err("malformed"),
+            read_request(bytes).expect_err("malformed"),
             BadRequest::Body(BodyError::MalformedChunk)
         );
     }
 }
 
 #[test]
-fn what_is_over_the_limits_is_refused_with_its_status() {
+fn requests_over_the_limits_are_rejected_with_their_status() {
     let long_body = b"POST / HTTP/1.1\r\nContent-Length: 10001\r\n\r\n";
-    assert_eq!(read(long_body).expect_err("too long").status(), 413);
+    assert_eq!(read_request(long_body).expect_err("too long").status(), 413);
     let mut long_head = b"GET / HTTP/1.1\r\nX: ".to_vec();
     long_head.extend(std::iter::repeat_n(b'x', 5_000));
-    assert_eq!(read(&long_head).expect_err("too long").status(), 431);
+    assert_eq!(
+        read_request(&long_head).expect_err("too long").status(),
+        431
+    );
 }
 
 #[test]
-fn an_answer_that_ends_with_its_connection_needs_an_orderly_end() {
+fn a_response_delimited_by_the_connection_needs_an_orderly_close() {
     let mut buffer = b"HTTP/1.1 200 OK\r\n\r\npart".to_vec();
     let mut reader = ResponseReader::default();
     assert!(reader
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn an_answer_cut_short_is_no_answer() {
+fn a_truncated_response_is_rejected() {
     let mut buffer = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc".to_vec();
     let mut reader = ResponseReader::default();
     assert!(reader
@@ -98,43 +101,43 @@
         .is_none());
     assert_eq!(reader.end(&buffer).expect_err("cut"), BadResponse::CutOff);
     assert_eq!(
-        answer(b"garbage\r\n\r\n").expect_err("no answer"),
+        read_response(b"garbage\r\n\r\n").expect_err("no response"),
         BadResponse::MalformedHead
     );
 }
 
 #[test]
-fn interim_answers_are_passed_over() {
+fn interim_responses_are_skipped() {
     let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n";
-    let response = answer(bytes).expect("well formed").expect("whole");
+    let response = read_response(bytes).expect("well formed").expect("whole");
     assert_eq!(response.status, 201);
 }
 
 #[test]
-fn fields_of_the_connection_are_not_passed_on() {
+fn hop_by_hop_fields_are_not_forwarded() {
     let bytes = b"GET / HTTP/1.1\r\nConnection: X-Hop, close\r\nX-Hop: 1\r\nX-End: 2\r\nTE: trailers\r\n\r\n";
-    let request = read(bytes).expect("well formed").expect("whole");
-    let passed: Vec<&str> = request.fields.end_to_end().map(|(name, _)| name).collect();
-    assert_eq!(passed, vec!["X-End"]);
+    let request = read_request(bytes).expect("well formed").expect("whole");
+    let forwarded: Vec<&str> = request.fields.end_to_end().map(|(name, _)| name).collect();
+    assert_eq!(forwarded, vec!["X-End"]);
     assert!(!request.keeps_alive);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// However the bytes are cut, the same requests come out, and nothing is left.
+    /// The same requests are parsed however the bytes are fragmented, and no bytes are left over.
     #[test]
-    fn pieces_do_not_matter(cuts in prop::collection::vec(1_usize..40, 1..60)) {
+    fn fragmentation_does_not_change_the_requests(sizes in prop::collection::vec(1_usize..40, 1..60)) {
         let bytes: &[u8] = b"POST /one HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /two HTTP/1.1\r\n\r\nPUT /three HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwxyz\r\n0\r\n\r\n";
         let mut reader = RequestReader::default();
         let mut buffer = Vec::new();
         let mut rest = bytes;
         let mut seen = Vec::new();
-        for cut in cuts.iter().cycle() {
+        for size in sizes.iter().cycle() {
             if rest.is_empty() {
                 break;
             }
-            let (piece, later) = rest.split_at((*cut).min(rest.len()));
+            let (piece, later) = rest.split_at((*size).min(rest.len()));
             buffer.extend_from_slice(piece);
             rest = later;
             while let Some(request) = reader.take(&mut buffer, LIMITS).expect("well formed") {
@@ -150,10 +153,10 @@
         prop_assert!(buffer.is_empty());
     }
 
-    /// Any bytes give requests or a typed refusal.
+    /// Any input is parsed or rejected with an error, and never causes a panic.
     #[test]
-    fn any_bytes_are_survived(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = read(&bytes);
-        let _ = answer(&bytes);
+    fn arbitrary_input_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        let _ = read_request(&bytes);
+        let _ = read_response(&bytes);
     }
 }
