--- a/crates/directory/src/daemon/housekeeping.rs
+++ b/crates/directory/src/daemon/housekeeping.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::InstanceState;
-use grebepin_reactor::{encode_frame, TextAnswer};
+use grebepin_reactor::{encode_frame, TextResponse};
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
@@ -34,7 +34,7 @@
     pub(super) fn on_metrics(&mut self, now: Duration, token: Token) {
         self.measure(now);
         let registered = &self.registered;
-        let answer = || TextAnswer {
+        let answer = || TextResponse {
             status: 200,
             body: registered.render().unwrap_or_default(),
         };
@@ -142,7 +142,7 @@
             self.announced_fed = is_fed;
             self.next_head = now + HEAD_EVERY;
             if let Some(metrics) = &mut self.metrics_server {
-                metrics.close_resting(now);
+                metrics.close_idle(now);
             }
             self.tell_heads(now);
             self.peers.tick(now);
--- a/crates/directory/src/daemon/link_side.rs
+++ b/crates/directory/src/daemon/link_side.rs
@@ -33,7 +33,7 @@
 
 impl LinkConnection {
     pub(super) fn new(connection: Connection, now: Duration) -> Self {
-        connection.limit_silence(SILENCE_LIMIT);
+        connection.set_unacked_timeout(SILENCE_LIMIT);
         Self {
             connection,
             fed: None,
--- a/crates/directory/src/daemon/peers.rs
+++ b/crates/directory/src/daemon/peers.rs
@@ -107,7 +107,7 @@
             self.retry_at.insert(address.to_owned(), now + RETRY_PAUSE);
             return false;
         };
-        connection.limit_silence(SILENCE_LIMIT);
+        connection.set_unacked_timeout(SILENCE_LIMIT);
         let peer = PeerConnection {
             address: address.to_owned(),
             connection,
--- a/crates/directory/src/daemon/server.rs
+++ b/crates/directory/src/daemon/server.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-use grebepin_reactor::{Clock, Connection, StandstillWatch, TextServer};
+use grebepin_reactor::{Clock, Connection, StallDetector, TextServer};
 use grebepin_storage::RealDisk;
 use grebepin_telemetry::{event, DirectoryMetrics, Event, Metrics};
 use mio::net::TcpListener;
@@ -67,7 +67,7 @@
     pub(super) metrics: DirectoryMetrics,
     pub(super) node: Node<RealDisk>,
     pub(super) clock: Clock,
-    pub(super) standstill: StandstillWatch,
+    pub(super) standstill: StallDetector,
     pub(super) next_token: usize,
     pub(super) https: HashMap<Token, HttpConnection>,
     pub(super) waiting_callers: VecDeque<Token>,
@@ -134,7 +134,7 @@
             metrics,
             node,
             clock,
-            standstill: StandstillWatch::default(),
+            standstill: StallDetector::default(),
             next_token: FIRST_CONNECTION,
             https: HashMap::new(),
             waiting_callers: VecDeque::new(),
@@ -169,7 +169,7 @@
                 Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
-            if let Some(stood) = self.standstill.look(self.clock.now()) {
+            if let Some(stood) = self.standstill.check(self.clock.now()) {
                 event!(Event::StoodStill, ms = stood.as_millis());
             }
             // Replicas and gateways first: a crowd of callers must not cost the leadership.
--- a/crates/directory/src/link.rs
+++ b/crates/directory/src/link.rs
@@ -2,7 +2,7 @@
 
 use grebepin_catalog::{Entry, InstanceId};
 use grebepin_grants::{LoadSample, Permit};
-use grebepin_reactor::{encode_frame, pack, take_frame, unpack, FrameError};
+use grebepin_reactor::{compress, decompress, encode_frame, take_frame, FrameError};
 use grebepin_schema::PeerFrame;
 use serde::{Deserialize, Serialize};
 
@@ -122,7 +122,7 @@
         if bytes.len() < PACKED_FROM {
             return Ok(bytes);
         }
-        let Ok(packed) = pack(&bytes) else {
+        let Ok(packed) = compress(&bytes) else {
             return Ok(bytes);
         };
         let mut frame = Vec::new();
@@ -138,7 +138,7 @@
         let Self::Packed(packed) = self else {
             return Ok(self);
         };
-        let Ok(mut bytes) = unpack(&packed, UNPACKED_LIMIT) else {
+        let Ok(mut bytes) = decompress(&packed, UNPACKED_LIMIT) else {
             return Err(FrameError::TooLong {
                 bytes: packed.len(),
             });
--- a/crates/gateway/examples/table_memory.rs
+++ b/crates/gateway/examples/table_memory.rs
@@ -10,7 +10,7 @@
     RequestKind, Route, Service, Version, WeightedService, SHARDS,
 };
 use grebepin_gateway::table::Table;
-use grebepin_reactor::{decode_frame, encode_frame, pack};
+use grebepin_reactor::{compress, decode_frame, encode_frame};
 use peak_alloc::PeakAlloc;
 
 #[global_allocator]
@@ -95,7 +95,7 @@
     ] {
         let mut frame = Vec::new();
         encode_frame(&catalog(servers, shards, routes), &mut frame).expect("it encodes");
-        let packed = pack(&frame[4..]).expect("it packs").len();
+        let packed = compress(&frame[4..]).expect("it packs").len();
         let before = ALLOCATOR.current_usage();
         ALLOCATOR.reset_peak_usage();
         let began = Instant::now();
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, SystemTime};
 
 use grebepin_reactor::http::RequestLimits;
-use grebepin_reactor::{Clock, Connection, Deadlines, StandstillWatch, TextAnswer, TextServer};
+use grebepin_reactor::{Clock, Connection, Deadlines, StallDetector, TextResponse, TextServer};
 use grebepin_telemetry::{event, Event, GatewayMetrics, Metrics};
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token};
@@ -92,7 +92,7 @@
     metrics_registry: Metrics,
     pub(crate) metrics: GatewayMetrics,
     clock: Clock,
-    stall_watch: StandstillWatch,
+    stall_detector: StallDetector,
     pub(crate) next_token: usize,
     pub(crate) clients: Clients,
     pub(crate) upstreams: Upstreams,
@@ -186,7 +186,7 @@
             metrics_registry,
             metrics,
             clock: Clock::start(),
-            stall_watch: StandstillWatch::default(),
+            stall_detector: StallDetector::default(),
             next_token: FIRST_CONNECTION,
             clients: Clients::new(),
             upstreams: Upstreams::default(),
@@ -227,7 +227,7 @@
                 Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
-            if let Some(stall) = self.stall_watch.look(self.clock.now()) {
+            if let Some(stall) = self.stall_detector.check(self.clock.now()) {
                 event!(Event::StoodStill, ms = stall.as_millis());
             }
             for event in &events {
@@ -321,7 +321,7 @@
         };
         let registry = self.poll.registry();
         let next = &mut self.next_token;
-        let response = || TextAnswer {
+        let response = || TextResponse {
             status,
             body: String::new(),
         };
@@ -333,7 +333,7 @@
         let now = self.now();
         self.update_gauges(now);
         let metrics_registry = &self.metrics_registry;
-        let response = || TextAnswer {
+        let response = || TextResponse {
             status: 200,
             body: metrics_registry.render().unwrap_or_default(),
         };
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -246,7 +246,7 @@
             return;
         };
         *next_token += 1;
-        connection.limit_silence(LINK_TIMEOUT);
+        connection.set_unacked_timeout(LINK_TIMEOUT);
         self.links
             .insert(token, Link::new(peer, address, connection, now));
     }
--- a/crates/gateway/src/housekeeping.rs
+++ b/crates/gateway/src/housekeeping.rs
@@ -83,9 +83,9 @@
                     .is_some_and(|started| now > started + header * 4);
             !is_expired && !stalled
         });
-        self.readiness_server.close_resting(now);
+        self.readiness_server.close_idle(now);
         if let Some(metrics) = &mut self.metrics_server {
-            metrics.close_resting(now);
+            metrics.close_idle(now);
         }
     }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -74,7 +74,7 @@
             let Ok(connection) = Connection::register(stream, registry, token) else {
                 continue;
             };
-            connection.limit_silence(FOLLOWER_TIMEOUT);
+            connection.set_unacked_timeout(FOLLOWER_TIMEOUT);
             let follower = Follower {
                 connection,
                 sent_index: None,
--- a/crates/gateway/src/sending.rs
+++ b/crates/gateway/src/sending.rs
@@ -101,7 +101,7 @@
         let connection =
             Connection::connect(address, self.settings.bind_ip, self.poll.registry(), token)
                 .ok()?;
-        connection.limit_silence(UNACKED_TIMEOUT);
+        connection.set_unacked_timeout(UNACKED_TIMEOUT);
         self.load_balancer.connection_opened(server);
         let upstream = Upstream {
             connection,
@@ -358,7 +358,8 @@
         if upstream.reused {
             self.drop_idle(&upstream.server);
         }
-        let response_began = upstream.reader.is_within() || !upstream.connection.inbound.is_empty();
+        let response_began =
+            upstream.reader.is_partial() || !upstream.connection.inbound.is_empty();
         if !response_began {
             self.probe_for_crash(id, &upstream.server);
         }
--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -39,14 +39,14 @@
 
 /// Detects that an event loop was stalled.
 #[derive(Debug, Default)]
-pub struct StandstillWatch {
+pub struct StallDetector {
     last: Option<Duration>,
 }
 
-impl StandstillWatch {
+impl StallDetector {
     /// Called once in each iteration of the loop, whose sleeps must be shorter than one second; returns for
     /// how long the loop was stalled, if it was.
-    pub fn look(&mut self, now: Duration) -> Option<Duration> {
+    pub fn check(&mut self, now: Duration) -> Option<Duration> {
         let last = self.last.replace(now)?;
         let passed = now.saturating_sub(last);
         (passed > STALL_THRESHOLD).then_some(passed)
--- a/crates/reactor/src/packing.rs
+++ b/crates/reactor/src/compression.rs
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 /// None for bytes in memory; the signature is that of the library.
-pub fn pack(bytes: &[u8]) -> io::Result<Vec<u8>> {
+pub fn compress(bytes: &[u8]) -> io::Result<Vec<u8>> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(bytes)?;
     encoder.finish()
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// The input is not valid DEFLATE data, or holds more than `limit` bytes.
-pub fn unpack(packed: &[u8], limit: usize) -> io::Result<Vec<u8>> {
+pub fn decompress(packed: &[u8], limit: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     let mut decoder = DeflateDecoder::new(packed).take(limit as u64 + 1);
     decoder.read_to_end(&mut bytes)?;
--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -86,7 +86,7 @@
     }
 
     /// Sets `TCP_USER_TIMEOUT`: the connection fails once sent bytes stay unacknowledged for `limit`.
-    pub fn limit_silence(&self, limit: Duration) {
+    pub fn set_unacked_timeout(&self, limit: Duration) {
         let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(limit));
     }
 
--- a/crates/reactor/src/http/request.rs
+++ b/crates/reactor/src/http/request.rs
@@ -89,7 +89,7 @@
     }
 
     /// Whether a request was read in part.
-    pub fn is_within(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         self.partial.is_some()
     }
 
--- a/crates/reactor/src/http/response.rs
+++ b/crates/reactor/src/http/response.rs
@@ -87,7 +87,7 @@
     }
 
     /// Whether the head of a response was read and its body is incomplete.
-    pub fn is_within(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         self.partial.is_some()
     }
 
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -5,16 +5,16 @@
 //! grows beyond the caller's limit by more than one read.
 
 mod clock;
+mod compression;
 mod connection;
 mod deadlines;
 mod frames;
 pub mod http;
-mod packing;
 mod text_server;
 
-pub use clock::{Clock, StandstillWatch};
+pub use clock::{Clock, StallDetector};
+pub use compression::{compress, decompress};
 pub use connection::{Connection, ReadOutcome};
 pub use deadlines::Deadlines;
 pub use frames::{decode_frame, encode_frame, take_frame, FrameError, MAXIMUM_FRAME_BYTES};
-pub use packing::{pack, unpack};
-pub use text_server::{TextAnswer, TextServer};
+pub use text_server::{TextResponse, TextServer};
--- a/crates/reactor/src/text_server.rs
+++ b/crates/reactor/src/text_server.rs
@@ -29,7 +29,7 @@
 
 /// A plain-text response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TextAnswer {
+pub struct TextResponse {
     /// HTTP status code.
     pub status: u16,
     /// Body of the response.
@@ -94,7 +94,7 @@
         token: Token,
         registry: &Registry,
         next_token: &mut usize,
-        respond: impl Fn() -> TextAnswer,
+        respond: impl Fn() -> TextResponse,
     ) {
         if token == self.token {
             self.accept(now, registry, next_token);
@@ -104,7 +104,7 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn close_resting(&mut self, now: Duration) {
+    pub fn close_idle(&mut self, now: Duration) {
         self.clients
             .retain(|_, client| now < client.last_active + IDLE_TIMEOUT);
     }
@@ -128,7 +128,7 @@
     }
 
     /// Answers the complete requests of a connection; returns whether it is still usable.
-    fn serve(&mut self, now: Duration, token: Token, respond: impl Fn() -> TextAnswer) -> bool {
+    fn serve(&mut self, now: Duration, token: Token, respond: impl Fn() -> TextResponse) -> bool {
         let Some(client) = self.clients.get_mut(&token) else {
             return false;
         };
--- a/crates/reactor/tests/clock.rs
+++ b/crates/reactor/tests/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebepin_reactor::{Clock, StandstillWatch};
+use grebepin_reactor::{Clock, StallDetector};
 use rustix::time::{clock_gettime, ClockId};
 
 #[test]
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_stalled_loop_is_reported_once() {
-    let mut watch = StandstillWatch::default();
+    let mut detector = StallDetector::default();
     let seconds = Duration::from_secs_f64;
     let checks = [
         (0.1, None),
@@ -33,7 +33,7 @@
         (4.0, None),
     ];
     for (at, stall) in checks {
-        let seen = watch.look(seconds(at));
+        let seen = detector.check(seconds(at));
         let seen = seen.map(|stall| stall.as_secs_f64().round());
         assert_eq!(seen, stall, "at {at}");
     }
