--- a/crates/directory/src/call.rs
+++ b/crates/directory/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and servers, and their outcomes, whatever dialect they came in.
+//! Calls by operators and servers and their outcomes, independent of the HTTP dialect they arrive in.
 
 use std::time::Duration;
 
@@ -6,87 +6,87 @@
 use grebepin_grants::Beat;
 use serde::{Deserialize, Serialize};
 
-/// A call that any replica takes and the leader answers.
+/// A call that any replica accepts and the leader answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
-    /// A server reports itself.
+    /// Heartbeat of a server, with the keys that it holds.
     Heartbeat(Beat),
-    /// A server is about to end.
+    /// A server announces that it is shutting down.
     Leave(InstanceId),
-    /// An operator changes items.
+    /// An operator changes configuration items.
     ChangeItems(ItemChange),
-    /// An operator reads all items.
+    /// An operator reads all configuration items.
     ReadItems,
-    /// An operator evacuates a zone, or ends that.
+    /// An operator starts or ends the evacuation of a zone.
     SetEvacuation {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether it is to be evacuated.
+        /// `true` starts the evacuation, `false` ends it.
         evacuated: bool,
     },
 }
 
-/// Keys that a server is to hold.
+/// A key range granted to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedRow {
     /// First key.
     pub from: u32,
     /// Last key, inclusive.
     pub to: u32,
-    /// Fence.
+    /// Fencing token of the assignment.
     pub fence: u64,
-    /// Handover of the last owner; empty without one.
+    /// Handover data left by the previous owner; empty if there is none.
     pub handover: String,
 }
 
-/// Everything that a server is to hold, counted from the sending of its heartbeat.
+/// All keys granted to a server. The lease counts from the moment at which the server sent its heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedKeys {
-    /// The keys.
+    /// The granted key ranges.
     pub rows: Vec<GrantedRow>,
-    /// Length of the lease.
+    /// Duration of the lease.
     pub lease: Duration,
 }
 
-/// An item in force, as it is read back.
+/// A configuration item in force, as returned to an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ItemDocument {
-    /// What it configures.
+    /// Kind of the item.
     pub kind: ItemKind,
-    /// Host, for a route; empty otherwise.
+    /// Host of a route; empty for other kinds.
     pub host: String,
-    /// The operator's own text of the item.
+    /// The item's document as the operator submitted it.
     pub document: String,
 }
 
 /// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The heartbeat is taken in.
+    /// The heartbeat was processed.
     Heartbeat {
-        /// What the server holds; `None` grants and renews nothing.
+        /// Keys granted to the server; `None` neither grants nor renews a lease.
         grant: Option<GrantedKeys>,
-        /// Where later heartbeats are best sent, when not here.
+        /// Address to which the server should send later heartbeats, if it is not this replica.
         endpoint: Option<String>,
     },
-    /// The server's leave is known to the whole group.
+    /// The server's shutdown is committed.
     Left,
-    /// The change is committed, or had been overtaken.
+    /// The change is committed, or was superseded by a later version.
     Changed,
-    /// The beginning or end of an evacuation is committed.
+    /// The start or end of the evacuation is committed.
     EvacuationSet,
-    /// An evacuation names a zone that the deployment does not have.
+    /// The evacuation names a zone that the deployment does not have.
     UnknownZone(String),
-    /// The change breaks a rule and nothing of it is in force.
+    /// The change violates a rule; no part of it is in force.
     Invalid(String),
     /// All items in force.
     Items(Vec<ItemDocument>),
-    /// No answer can be given here and now; a change may be in force or not.
+    /// This replica cannot answer now; if the call was a change, it may or may not be in force.
     Unavailable(UnavailableReason),
 }
 
 impl Reply {
-    /// Short name of the outcome, for metrics.
+    /// Value of the outcome label in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Heartbeat { grant: Some(_), .. } => "granted",
@@ -102,19 +102,19 @@
     }
 }
 
-/// Why no answer could be given.
+/// Why a call could not be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UnavailableReason {
     /// No leader is known.
     NoLeader,
-    /// The leader is not sure to be the only one.
+    /// The leader's lease has expired, so another replica may be leading.
     LeaseOver,
     /// Leadership was lost before the outcome was known.
     LostLeadership,
     /// The leader did not answer in time.
     LeaderSilent,
-    /// Too much waits for a majority.
+    /// Too many proposals are waiting for a majority.
     Overloaded,
-    /// A group that is being founded still takes in the voters that it must have.
+    /// A group that is being founded does not have enough voters yet.
     FewVoters,
 }
--- a/crates/directory/src/crashes.rs
+++ b/crates/directory/src/crashes.rs
@@ -1,10 +1,11 @@
-//! What the leader makes of crashes that gateways saw: which request crashes the servers that run it.
+//! Detection of requests that crash the servers executing them, from crash reports of gateways.
 //!
-//! Gateways tell of each crash again and again for as long as they remember it, so that a new leader knows all of
-//! them within a report, and one that turns out harmless is forgotten as soon as its gateway no longer tells it.
+//! Gateways repeat each crash report for as long as they remember the crash. A new leader therefore knows all
+//! crashes within one report interval, and a crash that turns out to be harmless is forgotten soon after its
+//! gateway stops reporting it.
 //!
-//! Invariant: a request is quarantined only for crashes of different lives of servers at different times, so that many
-//! servers that fail at one moment quarantine nothing of what they were running.
+//! Invariant: a request is quarantined only for crashes of different server incarnations at different times,
+//! so that many servers failing at one moment do not quarantine the requests they were executing.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,92 +13,93 @@
 use grebepin_catalog::{Catalog, Command, Fingerprint, InstanceId};
 use serde::{Deserialize, Serialize};
 
-/// Crashes for which a request is quarantined.
-const QUARANTINE_AFTER: usize = 3;
+/// Number of crashes after which a request is quarantined.
+const QUARANTINE_THRESHOLD: usize = 3;
 
-/// Least time between two crashes that both count.
-const APART: Duration = Duration::from_millis(250);
+/// Minimum time between two crashes that both count.
+const MIN_CRASH_SPACING: Duration = Duration::from_millis(250);
 
-/// Time for which a crash counts that no gateway tells of again; they tell each second.
-const TOLD_LIFETIME: Duration = Duration::from_secs(3);
+/// How long a crash counts after its last report; gateways report each second.
+const CRASH_REPORT_LIFETIME: Duration = Duration::from_secs(3);
 
-/// Time for which a request stays quarantined: whoever runs the servers has mended them by then, or one more crash
-/// shows that nobody has.
-const QUARANTINE_LIFETIME: Duration = Duration::from_secs(15 * 60);
+/// How long a request stays quarantined. By then the operators of the servers have fixed the fault, or one
+/// more crash shows that it persists.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(15 * 60);
 
-/// Crashes that are remembered at most, over all requests.
-const MOST_CRASHES: usize = 4_096;
+/// Maximum number of crashes remembered, over all requests.
+const MAX_CRASHES: usize = 4_096;
 
-/// Crashes that a replica passes on in one word at most.
-const MOST_TOLD: usize = 256;
+/// Maximum number of crashes that a replica forwards to the leader in one report.
+const MAX_REPORTS_PER_MESSAGE: usize = 256;
 
-/// A server crashed while it ran a request.
+/// Crash of a server while it executed a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The life of the server that ended.
+    /// The server incarnation that crashed.
     pub server: InstanceId,
-    /// How long ago, as the gateway that saw it tells.
+    /// Time since the crash, as measured by the reporting gateway.
     pub age: Duration,
 }
 
-/// Crashes that a replica gathers from its gateways for the leader.
+/// Crash reports that a replica buffers for its next report to the leader.
 #[derive(Debug, Default)]
-pub struct GatheredCrashes {
+pub struct CrashReportBuffer {
     reports: Vec<CrashReport>,
 }
 
-impl GatheredCrashes {
-    /// A gateway told of crashes.
+impl CrashReportBuffer {
+    /// Adds the reports of a gateway. Reports beyond the limit per message are dropped; gateways send them
+    /// again.
     pub fn add(&mut self, reports: &[CrashReport]) {
-        let room = MOST_TOLD.saturating_sub(self.reports.len());
+        let room = MAX_REPORTS_PER_MESSAGE.saturating_sub(self.reports.len());
         self.reports.extend(reports.iter().take(room).cloned());
     }
 
-    /// Takes what was gathered.
+    /// Removes and returns the buffered reports.
     pub fn take(&mut self) -> Vec<CrashReport> {
         std::mem::take(&mut self.reports)
     }
 }
 
-/// One crash.
 #[derive(Clone, Copy, Debug)]
 struct Crash {
-    /// When it was, in milliseconds of this process's clock: before its start, if negative.
+    /// Time of the crash in milliseconds on this process's clock; negative if it was before the process
+    /// started.
     at_ms: i64,
-    /// When a gateway last told of it.
-    told: Duration,
+    /// When a gateway last reported the crash.
+    last_reported: Duration,
 }
 
-/// All crashes that gateways tell of, at the leader.
+/// The leader's record of all crashes that gateways currently report.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     crashes: BTreeMap<(Fingerprint, InstanceId), Crash>,
-    /// Since when this leader has known each quarantined request.
+    /// When this leader first saw each quarantined request in the catalog.
     quarantined_since: BTreeMap<Fingerprint, Duration>,
 }
 
-impl CrashBook {
-    /// A gateway tells of a crash.
-    pub fn note(&mut self, now: Duration, report: &CrashReport) {
+impl CrashTracker {
+    /// Records a crash report. A new crash is ignored while the maximum number is already recorded.
+    pub fn record(&mut self, now: Duration, report: &CrashReport) {
         let key = (report.fingerprint, report.server.clone());
-        if !self.crashes.contains_key(&key) && self.crashes.len() >= MOST_CRASHES {
+        if !self.crashes.contains_key(&key) && self.crashes.len() >= MAX_CRASHES {
             return;
         }
         let crash = self.crashes.entry(key).or_insert(Crash {
             at_ms: now.as_millis() as i64 - report.age.as_millis() as i64,
-            told: now,
+            last_reported: now,
         });
-        crash.told = now;
+        crash.last_reported = now;
     }
 
-    /// Commands that are due: requests that are to be quarantined, and those for which that is over.
-    pub fn due(&mut self, now: Duration, catalog: &Catalog) -> Vec<Command> {
+    /// Returns the commands that start and end quarantines at this time.
+    pub fn due_commands(&mut self, now: Duration, catalog: &Catalog) -> Vec<Command> {
         self.crashes
-            .retain(|_, crash| now < crash.told + TOLD_LIFETIME);
+            .retain(|_, crash| now < crash.last_reported + CRASH_REPORT_LIFETIME);
         let mut commands: Vec<Command> = self
-            .repeated()
+            .over_threshold()
             .into_iter()
             .filter(|fingerprint| !catalog.quarantine().contains(*fingerprint))
             .map(|fingerprint| Command::SetQuarantine {
@@ -105,24 +107,24 @@
                 quarantined: true,
             })
             .collect();
-        commands.extend(self.released(now, catalog));
+        commands.extend(self.expired_quarantines(now, catalog));
         commands
     }
 
-    /// Requests with enough crashes.
-    fn repeated(&self) -> Vec<Fingerprint> {
+    /// Requests whose crashes reach the threshold.
+    fn over_threshold(&self) -> Vec<Fingerprint> {
         let mut times: BTreeMap<Fingerprint, Vec<i64>> = BTreeMap::new();
         for ((fingerprint, _), crash) in &self.crashes {
             times.entry(*fingerprint).or_default().push(crash.at_ms);
         }
-        let repeated = times
+        let over_threshold = times
             .into_iter()
-            .filter(|(_, times)| count_apart(times) >= QUARANTINE_AFTER);
-        repeated.map(|(fingerprint, _)| fingerprint).collect()
+            .filter(|(_, times)| count_spaced(times) >= QUARANTINE_THRESHOLD);
+        over_threshold.map(|(fingerprint, _)| fingerprint).collect()
     }
 
-    /// Ends of quarantines whose time is over.
-    fn released(&mut self, now: Duration, catalog: &Catalog) -> Vec<Command> {
+    /// Commands that end quarantines whose duration has passed.
+    fn expired_quarantines(&mut self, now: Duration, catalog: &Catalog) -> Vec<Command> {
         let quarantine = catalog.quarantine();
         self.quarantined_since
             .retain(|fingerprint, _| quarantine.contains(*fingerprint));
@@ -130,7 +132,7 @@
             self.quarantined_since.entry(fingerprint).or_insert(now);
         }
         let known = self.quarantined_since.iter();
-        let over = known.filter(|(_, since)| now >= **since + QUARANTINE_LIFETIME);
+        let over = known.filter(|(_, since)| now >= **since + QUARANTINE_DURATION);
         over.map(|(fingerprint, _)| Command::SetQuarantine {
             fingerprint: *fingerprint,
             quarantined: false,
@@ -139,14 +141,15 @@
     }
 }
 
-/// How many of some times, in milliseconds, lie apart from each other.
-fn count_apart(times: &[i64]) -> usize {
+/// Counts the times, in milliseconds, that are at least the minimum interval after the previously counted
+/// one.
+fn count_spaced(times: &[i64]) -> usize {
     let mut times = times.to_vec();
     times.sort_unstable();
     let mut count = 0;
     let mut last: Option<i64> = None;
     for at in times {
-        if last.is_none_or(|last| at >= last + APART.as_millis() as i64) {
+        if last.is_none_or(|last| at >= last + MIN_CRASH_SPACING.as_millis() as i64) {
             last = Some(at);
             count += 1;
         }
--- a/crates/directory/src/daemon/bad_calls.rs
+++ b/crates/directory/src/daemon/bad_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that can't be read: counted, and told in few lines however many come.
+//! Counts calls that cannot be parsed and limits the rate of their log lines.
 
 use std::time::Duration;
 
@@ -6,22 +6,23 @@
 
 use crate::dialect::BadCall;
 
-/// Least time between two lines: one program that goes on sending what can't be read shows, and fills no log.
-const LINE_EVERY: Duration = Duration::from_secs(1);
+/// Minimum interval between two log lines: a client that keeps sending unreadable calls is visible without
+/// filling the log.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest part of a call's target that a line shows, in characters.
-const SHOWN_TARGET: usize = 120;
+/// Maximum number of characters of a call's target in a log line.
+const MAX_LOGGED_TARGET: usize = 120;
 
-/// What was not told yet.
+/// Calls that no log line covers yet.
 #[derive(Debug, Default)]
 pub(super) struct BadCalls {
     next_line: Duration,
-    untold: u64,
+    unlogged: u64,
 }
 
 impl BadCalls {
-    /// Counts a call that can't be read; `target` is its path and query.
-    pub(super) fn note(
+    /// Counts a call that cannot be parsed; `target` is its path and query.
+    pub(super) fn record(
         &mut self,
         now: Duration,
         target: &str,
@@ -29,11 +30,11 @@
         metrics: &DirectoryMetrics,
     ) {
         metrics.note_bad_call(error.cause());
-        self.untold += 1;
-        let Some(calls) = self.take_due(now) else {
+        self.unlogged += 1;
+        let Some(calls) = self.take_due_count(now) else {
             return;
         };
-        let target: String = target.chars().take(SHOWN_TARGET).collect();
+        let target: String = target.chars().take(MAX_LOGGED_TARGET).collect();
         event!(
             Event::CallUnreadable,
             target = target,
@@ -43,13 +44,13 @@
         );
     }
 
-    /// How many calls the next line stands for; `None` while it is too early for one.
-    fn take_due(&mut self, now: Duration) -> Option<u64> {
+    /// Number of calls that the next log line covers; `None` if the previous line is too recent.
+    fn take_due_count(&mut self, now: Duration) -> Option<u64> {
         if now < self.next_line {
             return None;
         }
-        self.next_line = now + LINE_EVERY;
-        Some(std::mem::take(&mut self.untold))
+        self.next_line = now + LOG_INTERVAL;
+        Some(std::mem::take(&mut self.unlogged))
     }
 }
 
--- a/crates/directory/src/daemon/calls.rs
+++ b/crates/directory/src/daemon/calls.rs
@@ -1,4 +1,4 @@
-//! Calls under way: where each came from, and those that the leader answers in our place.
+//! Calls in progress: where each came from, and those relayed to the leader.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,26 +7,25 @@
 
 use crate::node::CallId;
 
-/// How long the leader may take over a relayed call.
-const RELAY_LIMIT: Duration = Duration::from_millis(800);
+/// Time within which the leader must answer a relayed call.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Where a call came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
     /// An HTTP connection.
     Http(Token),
-    /// Another replica, with the name that it gave the call.
+    /// A connection of another replica, with its identifier for the call.
     Replica(Token, u64),
 }
 
-/// A call that waits for the leader.
+/// A call that waits for the leader's answer.
 #[derive(Debug)]
 struct Relayed {
-    due: Duration,
+    deadline: Duration,
     endpoint: String,
 }
 
-/// Calls under way.
 #[derive(Debug, Default)]
 pub(super) struct Calls {
     next: u64,
@@ -35,7 +34,7 @@
 }
 
 impl Calls {
-    /// Takes in a call.
+    /// Registers a call and assigns its identifier.
     pub(super) fn begin(&mut self, now: Duration, origin: Origin) -> CallId {
         self.next += 1;
         let id = CallId(self.next);
@@ -43,7 +42,7 @@
         id
     }
 
-    /// Ends a call; where its reply goes, and when it began.
+    /// Removes a call; returns where its reply goes and when the call began.
     pub(super) fn end(&mut self, id: CallId) -> Option<(Origin, Duration)> {
         self.relayed.remove(&id);
         self.origins.remove(&id)
@@ -54,22 +53,23 @@
         self.origins.get(&id).map(|(origin, _)| *origin)
     }
 
-    /// Notes that the leader was asked.
-    pub(super) fn note_relayed(&mut self, id: CallId, now: Duration, endpoint: String) {
-        let due = now + RELAY_LIMIT;
-        self.relayed.insert(id, Relayed { due, endpoint });
+    /// Records that a call was relayed to the leader; `endpoint` is the address at which the leader accepts
+    /// calls.
+    pub(super) fn record_relay(&mut self, id: CallId, now: Duration, endpoint: String) {
+        let deadline = now + RELAY_TIMEOUT;
+        self.relayed.insert(id, Relayed { deadline, endpoint });
     }
 
-    /// The leader's own address for calls, for a call that it was asked to answer.
+    /// Address at which the leader accepts calls, if this call was relayed to it.
     pub(super) fn take_endpoint(&mut self, id: CallId) -> Option<String> {
         self.relayed.remove(&id).map(|relayed| relayed.endpoint)
     }
 
-    /// Relayed calls whose time is up.
+    /// Relayed calls whose deadline has passed.
     pub(super) fn overdue(&self, now: Duration) -> Vec<CallId> {
         let relayed = self.relayed.iter();
         relayed
-            .filter(|(_, relayed)| relayed.due <= now)
+            .filter(|(_, relayed)| relayed.deadline <= now)
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/directory/src/daemon/event_log.rs
+++ b/crates/directory/src/daemon/event_log.rs
@@ -1,14 +1,13 @@
-//! Log lines for what the node decided.
+//! Log lines for notices of the node.
 
 use grebepin_catalog::Effects;
 use grebepin_telemetry::{event, DirectoryMetrics, Event};
 
 use crate::node::Notice;
 
-/// Names of items that one line lists.
-const NAMES_LISTED: usize = 20;
+/// Maximum number of item names in a log line.
+const MAX_LOGGED_NAMES: usize = 20;
 
-/// Logs one notice.
 pub(super) fn log_notice(notice: &Notice, metrics: &DirectoryMetrics) {
     match notice {
         Notice::Founded => event!(Event::DirectoryFounded),
@@ -43,7 +42,7 @@
             log_items(*index, effects);
             log_evacuation(*index, effects);
             log_quarantine(*index, effects);
-            note_shards(effects, metrics);
+            record_shard_moves(effects, metrics);
             if *is_leader {
                 log_servers(*index, effects);
             }
@@ -54,7 +53,7 @@
 
 fn log_items(index: u64, effects: &Effects) {
     if !effects.items.is_empty() {
-        let names = effects.items.iter().take(NAMES_LISTED);
+        let names = effects.items.iter().take(MAX_LOGGED_NAMES);
         let names: Vec<&str> = names.map(|key| key.name.as_str()).collect();
         event!(
             Event::ItemsChanged,
@@ -90,13 +89,13 @@
     }
 }
 
-fn note_shards(effects: &Effects, metrics: &DirectoryMetrics) {
+fn record_shard_moves(effects: &Effects, metrics: &DirectoryMetrics) {
     for change in &effects.shards {
         metrics.note_shards(&change.service, change.assigned, change.shards.len());
     }
 }
 
-/// Lines for servers and shards: the leader decided on them.
+/// Log lines for servers and shards; written by the leader only.
 fn log_servers(index: u64, effects: &Effects) {
     for id in &effects.instances {
         event!(Event::InstanceChanged, index = index, instance = id);
@@ -119,7 +118,7 @@
     }
 }
 
-/// Numbers that stand in order as ranges, such as `3-5,9`.
+/// Formats ascending numbers as ranges, such as `3-5,9`.
 fn ranges(numbers: &[u16]) -> String {
     let mut ranges: Vec<(u16, u16)> = Vec::new();
     for number in numbers {
--- a/crates/directory/src/daemon/server.rs
+++ b/crates/directory/src/daemon/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop.
+//! The event loop: accepts connections, passes inputs to the node and performs its outputs.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::path::{Path, PathBuf};
@@ -14,18 +14,18 @@
 use super::calls::{Calls, Origin};
 use super::event_log::log_notice;
 use super::feed::Feeder;
-use super::housekeeping::SETTINGS_LOOK_EVERY;
-use super::http_side::HttpConnection;
-use super::link_side::LinkConnection;
-use super::opening::{changed_at, open_node};
+use super::housekeeping::SETTINGS_CHECK_INTERVAL;
+use super::http_connection::HttpConnection;
+use super::link_connection::LinkConnection;
+use super::opening::{modified_at, open_node};
 use super::peers::Peers;
-use super::permitting::PermitRelay;
+use super::permit_relay::PermitRelay;
 use super::signals::Signals;
 use super::DirectoryError;
 use crate::call::Reply;
-use crate::crashes::GatheredCrashes;
+use crate::crashes::CrashReportBuffer;
 use crate::dialect::{BadCall, Dialect, HttpCall};
-use crate::fleet::{Fleet, Gathered};
+use crate::fleet::{Fleet, LoadBuffer};
 use crate::link::{FromReplica, ToReplica};
 use crate::node::{Node, NodeError, NodeInput, NodeOutput};
 use crate::settings::DirectorySettings;
@@ -35,82 +35,84 @@
 const METRICS_LISTENER: Token = Token(2);
 const FIRST_CONNECTION: usize = 3;
 
-/// Events taken from the system at once.
+/// Maximum number of events per poll.
 const EVENT_BATCH: usize = 256;
 
-/// Callers served in one round, before replicas and gateways get their turn again.
+/// Maximum number of HTTP connections served per iteration, so that replicas and gateways are not delayed.
 const CALLERS_PER_ROUND: usize = 16;
 
-/// Longest sleep, so that signals are noticed.
-const LONGEST_SLEEP: Duration = Duration::from_millis(100);
+/// Maximum time of one poll, so that signals are noticed.
+const MAX_POLL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Pause before gateways that could not be fed get their turn.
-const FEED_PAUSE: Duration = Duration::from_millis(5);
+/// Maximum time of one poll while gateways still lack entries.
+const FEED_POLL_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// Connections taken in at once.
+/// Maximum number of open connections of each kind, HTTP and link.
 const CONNECTION_LIMIT: usize = 3_000;
 
-/// Rounds of inputs that follow from outputs, before the network gets its turn.
-const MAXIMUM_ROUNDS: usize = 8;
+/// Maximum number of rounds in which outputs lead to new inputs before the sockets are polled again.
+const MAX_NODE_ROUNDS: usize = 8;
 
-/// The process.
-pub(super) struct Server<'a> {
+/// State of the event loop.
+pub(super) struct EventLoop<'a> {
     pub(super) settings_path: PathBuf,
     pub(super) settings: DirectorySettings,
-    pub(super) settings_changed: Option<SystemTime>,
+    pub(super) settings_modified_at: Option<SystemTime>,
     pub(super) dialect: &'a dyn Dialect,
     pub(super) poll: Poll,
-    pub(super) control: TcpListener,
-    pub(super) links: TcpListener,
+    pub(super) control_listener: TcpListener,
+    pub(super) link_listener: TcpListener,
     pub(super) metrics_server: Option<TextServer>,
-    pub(super) registered: Metrics,
+    pub(super) metrics_registry: Metrics,
     pub(super) metrics: DirectoryMetrics,
     pub(super) node: Node<RealDisk>,
     pub(super) clock: Clock,
     pub(super) standstill: StandstillWatch,
     pub(super) next_token: usize,
-    pub(super) https: HashMap<Token, HttpConnection>,
-    pub(super) waiting_callers: VecDeque<Token>,
-    pub(super) inbound: HashMap<Token, LinkConnection>,
-    /// Links with frames that were not handed to the system yet.
+    pub(super) http_connections: HashMap<Token, HttpConnection>,
+    pub(super) ready_callers: VecDeque<Token>,
+    pub(super) inbound_links: HashMap<Token, LinkConnection>,
+    /// Inbound links with frames that are not yet written to the socket.
     pub(super) unsent_links: BTreeSet<Token>,
     pub(super) peers: Peers,
     pub(super) feeder: Feeder,
     pub(super) fleet: Fleet,
-    pub(super) gathered: Gathered,
-    pub(super) gathered_crashes: GatheredCrashes,
-    /// Whether gateways were last told that what they get from here is fresh.
-    pub(super) announced_fed: bool,
+    pub(super) load_buffer: LoadBuffer,
+    pub(super) crash_reports: CrashReportBuffer,
+    /// Value of `is_fed` in the last status message to gateways.
+    pub(super) announced_is_fed: bool,
     pub(super) permit_relay: PermitRelay,
     pub(super) bad_calls: BadCalls,
     pub(super) calls: Calls,
     pub(super) inputs: Vec<NodeInput>,
-    pub(super) next_head: Duration,
-    pub(super) next_settings_look: Duration,
+    pub(super) next_status: Duration,
+    pub(super) next_settings_check: Duration,
     pub(super) signals: Signals,
 }
 
-impl<'a> Server<'a> {
+impl<'a> EventLoop<'a> {
     pub(super) fn start(
         path: &Path,
         dialect: &'a dyn Dialect,
         signals: &Signals,
     ) -> Result<Self, DirectoryError> {
-        // Before the folder is read: waits that count from the start of the process begin here.
+        // Started before the data folder is read: timeouts measured from the start of the process begin
+        // here.
         let clock = Clock::start();
         let settings = DirectorySettings::load(path)?;
         let poll = Poll::new()?;
-        let mut control = TcpListener::bind(settings.bind_address(settings.control_address))?;
-        let mut links = TcpListener::bind(settings.bind_address(settings.link_address()))?;
+        let mut control_listener =
+            TcpListener::bind(settings.bind_address(settings.control_address))?;
+        let mut link_listener = TcpListener::bind(settings.bind_address(settings.link_address()))?;
         let registry = poll.registry();
-        registry.register(&mut control, CONTROL_LISTENER, Interest::READABLE)?;
-        registry.register(&mut links, LINK_LISTENER, Interest::READABLE)?;
+        registry.register(&mut control_listener, CONTROL_LISTENER, Interest::READABLE)?;
+        registry.register(&mut link_listener, LINK_LISTENER, Interest::READABLE)?;
         let metrics_ip = settings.bind_address(settings.control_address).ip();
         let metrics_port = settings.metrics_port;
         let metrics_server =
             TextServer::listen_at(metrics_ip, metrics_port, registry, METRICS_LISTENER)?;
-        let registered = Metrics::new();
-        let metrics = DirectoryMetrics::register(&registered)?;
+        let metrics_registry = Metrics::new();
+        let metrics = DirectoryMetrics::register(&metrics_registry)?;
         let node = open_node(&settings)?;
         event!(
             Event::DirectoryStarted,
@@ -124,32 +126,32 @@
             feeder: Feeder::new(settings.link_mbps),
             peers: Peers::new(settings.bind_ip),
             settings,
-            settings_changed: changed_at(path),
+            settings_modified_at: modified_at(path),
             dialect,
             poll,
-            control,
-            links,
+            control_listener,
+            link_listener,
             metrics_server,
-            registered,
+            metrics_registry,
             metrics,
             node,
             clock,
             standstill: StandstillWatch::default(),
             next_token: FIRST_CONNECTION,
-            https: HashMap::new(),
-            waiting_callers: VecDeque::new(),
-            inbound: HashMap::new(),
+            http_connections: HashMap::new(),
+            ready_callers: VecDeque::new(),
+            inbound_links: HashMap::new(),
             unsent_links: BTreeSet::new(),
             fleet: Fleet::default(),
-            gathered: Gathered::default(),
-            gathered_crashes: GatheredCrashes::default(),
-            announced_fed: false,
+            load_buffer: LoadBuffer::default(),
+            crash_reports: CrashReportBuffer::default(),
+            announced_is_fed: false,
             permit_relay: PermitRelay::default(),
             bad_calls: BadCalls::default(),
             calls: Calls::default(),
             inputs: Vec::new(),
-            next_head: Duration::ZERO,
-            next_settings_look: SETTINGS_LOOK_EVERY,
+            next_status: Duration::ZERO,
+            next_settings_check: SETTINGS_CHECK_INTERVAL,
             signals: signals.clone(),
         })
     }
@@ -158,44 +160,44 @@
         let mut events = Events::with_capacity(EVENT_BATCH);
         while !self.signals.stop() {
             let now = self.now();
-            let longest = match (self.waiting_callers.is_empty(), self.feeder.is_behind) {
+            let max_timeout = match (self.ready_callers.is_empty(), self.feeder.is_behind) {
                 (false, _) => Duration::ZERO,
-                (true, true) => FEED_PAUSE,
-                (true, false) => LONGEST_SLEEP,
+                (true, true) => FEED_POLL_TIMEOUT,
+                (true, false) => MAX_POLL_TIMEOUT,
             };
-            let sleep = self.node.next_wake().saturating_sub(now).min(longest);
-            match self.poll.poll(&mut events, Some(sleep)) {
+            let timeout = self.node.next_wake().saturating_sub(now).min(max_timeout);
+            match self.poll.poll(&mut events, Some(timeout)) {
                 Ok(()) => {}
                 Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
-            if let Some(stood) = self.standstill.look(self.clock.now()) {
-                event!(Event::StoodStill, ms = stood.as_millis());
+            if let Some(stalled_for) = self.standstill.look(self.clock.now()) {
+                event!(Event::StoodStill, ms = stalled_for.as_millis());
             }
-            // Replicas and gateways first: a crowd of callers must not cost the leadership.
+            // Connections of replicas and gateways go first: many HTTP clients must not cost the leadership.
             for ready in &events {
-                match self.https.contains_key(&ready.token()) {
-                    true => self.waiting_callers.push_back(ready.token()),
+                match self.http_connections.contains_key(&ready.token()) {
+                    true => self.ready_callers.push_back(ready.token()),
                     false => self.on_event(ready.token()),
                 }
             }
             self.serve_callers();
-            self.turn()?;
-            self.do_housekeeping();
+            self.process_inputs()?;
+            self.run_periodic_tasks();
         }
         event!(Event::StopRequested);
-        for http in self.https.values_mut() {
+        for http in self.http_connections.values_mut() {
             http.flush();
         }
         event!(Event::Stopped);
         Ok(())
     }
 
-    /// Serves some of the callers that sent something.
+    /// Serves a limited number of HTTP connections that are ready.
     fn serve_callers(&mut self) {
         let now = self.now();
         for _ in 0..CALLERS_PER_ROUND {
-            let Some(token) = self.waiting_callers.pop_front() else {
+            let Some(token) = self.ready_callers.pop_front() else {
                 return;
             };
             self.on_http(now, token);
@@ -211,7 +213,7 @@
         match token {
             CONTROL_LISTENER => self.accept_callers(now),
             LINK_LISTENER => self.accept_links(now),
-            token if self.inbound.contains_key(&token) => self.on_link(now, token),
+            token if self.inbound_links.contains_key(&token) => self.on_link(now, token),
             token
                 if self
                     .metrics_server
@@ -229,57 +231,57 @@
         }
     }
 
-    pub(super) fn fresh_token(&mut self) -> Token {
+    pub(super) fn allocate_token(&mut self) -> Token {
         let token = Token(self.next_token);
         self.next_token += 1;
         token
     }
 
     fn accept_callers(&mut self, now: Duration) {
-        while let Ok((stream, _)) = self.control.accept() {
-            if self.https.len() >= CONNECTION_LIMIT {
+        while let Ok((stream, _)) = self.control_listener.accept() {
+            if self.http_connections.len() >= CONNECTION_LIMIT {
                 continue;
             }
-            let token = self.fresh_token();
+            let token = self.allocate_token();
             if let Ok(connection) = Connection::register(stream, self.poll.registry(), token) {
-                self.https
+                self.http_connections
                     .insert(token, HttpConnection::new(connection, now));
             }
         }
     }
 
     fn accept_links(&mut self, now: Duration) {
-        while let Ok((stream, _)) = self.links.accept() {
-            if self.inbound.len() >= CONNECTION_LIMIT {
+        while let Ok((stream, _)) = self.link_listener.accept() {
+            if self.inbound_links.len() >= CONNECTION_LIMIT {
                 continue;
             }
-            let token = self.fresh_token();
+            let token = self.allocate_token();
             if let Ok(connection) = Connection::register(stream, self.poll.registry(), token) {
                 let mut link = LinkConnection::new(connection, now);
-                let head = self.head(now);
-                if link.send(&FromReplica::Head(head)) {
-                    self.inbound.insert(token, link);
+                let status = self.status(now);
+                if link.send(&FromReplica::Head(status)) {
+                    self.inbound_links.insert(token, link);
                 }
             }
         }
     }
 
     fn on_http(&mut self, now: Duration, token: Token) {
-        let Some(http) = self.https.get_mut(&token) else {
+        let Some(http) = self.http_connections.get_mut(&token) else {
             return;
         };
-        http.active = now;
+        http.last_active = now;
         if !http.fill() || !http.flush() {
-            self.https.remove(&token);
+            self.http_connections.remove(&token);
             return;
         }
-        self.take_call(token);
+        self.submit_next_call(token);
     }
 
-    /// Hands the next call of a connection to the node.
-    fn take_call(&mut self, token: Token) {
+    /// Passes the next request of an HTTP connection to the node.
+    fn submit_next_call(&mut self, token: Token) {
         let now = self.now();
-        let Some(http) = self.https.get_mut(&token) else {
+        let Some(http) = self.http_connections.get_mut(&token) else {
             return;
         };
         let content_type = self.dialect.content_type();
@@ -288,10 +290,10 @@
             Ok(Some(request)) => request,
             Err(error) => {
                 let error = BadCall::Malformed(error.to_string());
-                self.bad_calls.note(now, "", &error, &self.metrics);
+                self.bad_calls.record(now, "", &error, &self.metrics);
                 let reply = self.dialect.render_bad_call(&error);
                 http.refuse(&reply, content_type);
-                self.https.remove(&token);
+                self.http_connections.remove(&token);
                 return;
             }
         };
@@ -307,28 +309,28 @@
             }
             Err(error) => {
                 let target = &request.target;
-                self.bad_calls.note(now, target, &error, &self.metrics);
+                self.bad_calls.record(now, target, &error, &self.metrics);
                 let reply = self.dialect.render_bad_call(&error);
                 if !http.answer(&reply, content_type) {
-                    self.https.remove(&token);
+                    self.http_connections.remove(&token);
                 }
             }
         }
     }
 
     fn on_link(&mut self, now: Duration, token: Token) {
-        let Some(link) = self.inbound.get_mut(&token) else {
+        let Some(link) = self.inbound_links.get_mut(&token) else {
             return;
         };
         let frames = match link.connection.flush().is_ok() {
             true => link.take_frames(now),
             false => {
-                self.inbound.remove(&token);
+                self.inbound_links.remove(&token);
                 return;
             }
         };
         match frames {
-            Err(_) => _ = self.inbound.remove(&token),
+            Err(_) => _ = self.inbound_links.remove(&token),
             Ok(frames) => {
                 for frame in frames {
                     self.on_link_frame(token, frame);
@@ -351,32 +353,32 @@
                     gateway = follow.node,
                     applied = follow.applied
                 );
-                if let Some(link) = self.inbound.get_mut(&token) {
+                if let Some(link) = self.inbound_links.get_mut(&token) {
                     link.gateway = follow.node;
-                    link.fed = Some(follow.applied);
+                    link.fed_index = Some(follow.applied);
                 }
                 self.feeder.is_behind = true;
             }
             ToReplica::FetchState => {
-                if let Some(link) = self.inbound.get_mut(&token) {
+                if let Some(link) = self.inbound_links.get_mut(&token) {
                     link.wants_state = true;
                 }
                 self.feeder.is_behind = true;
             }
             ToReplica::Report(report) => {
-                self.note_gateway(token, report.node, report.relay);
-                self.gathered.add(&report.load);
-                self.gathered_crashes.add(&report.crashes);
+                self.identify_gateway(token, report.node, report.relay);
+                self.load_buffer.add(&report.load);
+                self.crash_reports.add(&report.crashes);
             }
             ToReplica::ReplicaReport(report) => self.on_replica_report(token, report),
             ToReplica::TakePermit(request) => self.on_permit_request(token, request),
         }
     }
 
-    /// Notes which gateway a link belongs to. One that is new learns at once whether this replica leads:
-    /// what it was told when it connected may be old.
-    fn note_gateway(&mut self, token: Token, gateway: String, relay: String) {
-        let Some(link) = self.inbound.get_mut(&token) else {
+    /// Records which gateway a link belongs to. A gateway that was unknown so far is sent the current status
+    /// at once: the one it received on connecting may be outdated.
+    fn identify_gateway(&mut self, token: Token, gateway: String, relay: String) {
+        let Some(link) = self.inbound_links.get_mut(&token) else {
             return;
         };
         link.relay = relay;
@@ -384,25 +386,25 @@
             return;
         }
         link.gateway = gateway;
-        let head = FromReplica::Head(self.head(self.now()));
+        let status = FromReplica::Head(self.status(self.now()));
         if self
-            .inbound
+            .inbound_links
             .get_mut(&token)
-            .is_some_and(|link| !link.send(&head))
+            .is_some_and(|link| !link.send(&status))
         {
-            self.inbound.remove(&token);
+            self.inbound_links.remove(&token);
         }
     }
 
-    /// Lets the node work on what came in, and carries out what it says.
-    fn turn(&mut self) -> Result<(), NodeError> {
-        for _ in 0..MAXIMUM_ROUNDS {
+    /// Lets the node process the inputs and performs its outputs.
+    fn process_inputs(&mut self) -> Result<(), NodeError> {
+        for _ in 0..MAX_NODE_ROUNDS {
             let clock = self.clock;
             let inputs = std::mem::take(&mut self.inputs);
             let outputs = self.node.handle(&mut || clock.now(), inputs)?;
             for output in outputs {
                 self.feeder.is_behind |= matches!(output, NodeOutput::Applied);
-                self.carry_out(output);
+                self.execute(output);
             }
             if self.inputs.is_empty() {
                 break;
@@ -415,7 +417,7 @@
         Ok(())
     }
 
-    fn carry_out(&mut self, output: NodeOutput) {
+    fn execute(&mut self, output: NodeOutput) {
         match output {
             NodeOutput::Peer { address, frame } => {
                 self.send_peer(&address, &ToReplica::Peer(frame));
@@ -429,13 +431,13 @@
             } => self.relay(id, &address, endpoint, call),
             NodeOutput::Applied => {}
             NodeOutput::StateReplaced => {
-                for link in self.inbound.values_mut() {
-                    link.fed = link.fed.map(|_| 0);
+                for link in self.inbound_links.values_mut() {
+                    link.fed_index = link.fed_index.map(|_| 0);
                 }
             }
             NodeOutput::LeadershipChanged => {
-                self.next_head = Duration::ZERO;
-                self.permit_relay.begin_anew();
+                self.next_status = Duration::ZERO;
+                self.permit_relay.reset_permits();
             }
             NodeOutput::Notice(notice) => log_notice(&notice, &self.metrics),
         }
@@ -449,10 +451,10 @@
                 reason = format!("{reason:?}")
             );
         }
-        let Some((origin, began)) = self.calls.end(id) else {
+        let Some((origin, started_at)) = self.calls.end(id) else {
             return;
         };
-        let took = self.now().saturating_sub(began);
+        let took = self.now().saturating_sub(started_at);
         self.metrics.note_call(reply.name(), took);
         match origin {
             Origin::Replica(token, id) => {
@@ -460,19 +462,19 @@
                     id,
                     reply: reply.clone(),
                 };
-                if let Some(link) = self.inbound.get_mut(&token) {
+                if let Some(link) = self.inbound_links.get_mut(&token) {
                     link.queue(&frame);
                     self.unsent_links.insert(token);
                 }
             }
             Origin::Http(token) => {
-                let Some(http) = self.https.get_mut(&token) else {
+                let Some(http) = self.http_connections.get_mut(&token) else {
                     return;
                 };
                 let rendered = self.dialect.render(reply);
                 match http.answer(&rendered, self.dialect.content_type()) {
-                    true => self.take_call(token),
-                    false => _ = self.https.remove(&token),
+                    true => self.submit_next_call(token),
+                    false => _ = self.http_connections.remove(&token),
                 }
             }
         }
@@ -480,8 +482,8 @@
 
     pub(super) fn feed(&mut self) {
         let now = self.now();
-        for token in self.feeder.feed(now, &self.node, &mut self.inbound) {
-            self.inbound.remove(&token);
+        for token in self.feeder.feed(now, &self.node, &mut self.inbound_links) {
+            self.inbound_links.remove(&token);
         }
     }
 }
--- a/crates/directory/src/daemon/feed.rs
+++ b/crates/directory/src/daemon/feed.rs
@@ -1,7 +1,7 @@
-//! Feeds the gateways: what each lacks, encoded once for all that lack the same.
+//! Sends state updates to gateways. Each update is encoded once for all gateways that need the same one.
 //!
-//! Invariant: what is fed stays below a part of the machine's link, so that a crowd of newcomers or
-//! a large change never holds up what replicas say to each other.
+//! Invariant: updates use only a fraction of the machine's link, so that many new gateways or a large change
+//! never delay the traffic between replicas.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,36 +10,37 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use super::link_side::LinkConnection;
+use super::link_connection::LinkConnection;
 use crate::link::FromReplica;
 use crate::node::{Node, NodeError};
-use crate::pacing::{Pacer, RoundEnd, Rounds, BYTES_PER_MEGABIT};
+use crate::pacing::{Pacer, RoundEnd, RoundSchedule, BYTES_PER_MEGABIT};
 
-/// Part of the link that may be used.
-const LINK_PART: f64 = 0.4;
+/// Fraction of the link's capacity that may be used.
+const LINK_FRACTION: f64 = 0.4;
 
-/// What was encoded last, and what may be sent.
+/// Cache of the encoded complete state, and the limits on sending.
 #[derive(Debug)]
 pub(super) struct Feeder {
-    whole: Option<(u64, Vec<u8>)>,
+    encoded_state: Option<(u64, Vec<u8>)>,
     pacer: Pacer,
-    rounds: Rounds,
-    /// Whether some gateway still lacks something.
+    rounds: RoundSchedule,
+    /// Whether some gateway still lacks entries.
     pub(super) is_behind: bool,
 }
 
 impl Feeder {
-    /// Feeds over a link of so many megabits a second.
+    /// Limits the rate to a fraction of a link with this capacity.
     pub(super) fn new(link_mbps: f64) -> Self {
         Self {
-            whole: None,
-            pacer: Pacer::new(link_mbps * BYTES_PER_MEGABIT * LINK_PART),
-            rounds: Rounds::default(),
+            encoded_state: None,
+            pacer: Pacer::new(link_mbps * BYTES_PER_MEGABIT * LINK_FRACTION),
+            rounds: RoundSchedule::default(),
             is_behind: false,
         }
     }
 
-    /// Sends every gateway that follows what it lacks; those of no further use are returned.
+    /// Sends every following gateway the entries it lacks. Returns the connections that failed and must be
+    /// closed.
     pub(super) fn feed<D: Disk>(
         &mut self,
         now: Duration,
@@ -54,44 +55,47 @@
         }
         let gateways = links.len();
         let mut lost = Vec::new();
-        let mut end = RoundEnd::Whole;
+        let mut end = RoundEnd::Complete;
         for (token, link) in links.iter_mut() {
-            let lacks_news = link.fed.is_some_and(|fed| fed < applied);
-            if !lacks_news && !link.wants_state {
+            let lacks_entries = link.fed_index.is_some_and(|fed| fed < applied);
+            if !lacks_entries && !link.wants_state {
                 continue;
             }
             if !self.pacer.allows(now) {
-                end = RoundEnd::CutShort;
+                end = RoundEnd::AllowanceExhausted;
                 break;
             }
-            let fed = link.fed.filter(|_| !link.wants_state);
-            let news = fed.and_then(|fed| {
-                let news = entries.entry(fed);
-                let news = news.or_insert_with(|| encoded_entries(node, fed));
-                news.as_deref()
+            let fed = link.fed_index.filter(|_| !link.wants_state);
+            let update = fed.and_then(|fed| {
+                let update = entries.entry(fed);
+                let update = update.or_insert_with(|| encode_entries(node, fed));
+                update.as_deref()
             });
-            let Some(bytes) = news.or_else(|| self.whole_state(node)) else {
+            let Some(bytes) = update.or_else(|| self.complete_state(node)) else {
                 continue;
             };
-            let cost = bytes.len();
+            let sent_bytes = bytes.len();
             link.wants_state = false;
-            link.fed = link.fed.map(|_| applied);
+            link.fed_index = link.fed_index.map(|_| applied);
             if !link.send_bytes(bytes) {
                 lost.push(*token);
             }
-            self.pacer.spend(cost);
+            self.pacer.spend(sent_bytes);
         }
-        self.rounds.ended(now, gateways, end);
-        self.is_behind = end == RoundEnd::CutShort;
+        self.rounds.record_end(now, gateways, end);
+        self.is_behind = end == RoundEnd::AllowanceExhausted;
         lost
     }
 
-    /// The whole state as one frame; `None`, with a line in the log, when it can't be encoded.
-    fn whole_state<D: Disk>(&mut self, node: &Node<D>) -> Option<&[u8]> {
+    /// The complete state as one frame; `None` if it cannot be encoded, which is logged.
+    fn complete_state<D: Disk>(&mut self, node: &Node<D>) -> Option<&[u8]> {
         let applied = node.applied();
-        let is_fresh = self.whole.as_ref().is_some_and(|(at, _)| *at == applied);
-        if !is_fresh {
-            self.whole = match encoded_state(node) {
+        let is_current = self
+            .encoded_state
+            .as_ref()
+            .is_some_and(|(at, _)| *at == applied);
+        if !is_current {
+            self.encoded_state = match encode_state(node) {
                 Ok(bytes) => Some((applied, bytes)),
                 Err(error) => {
                     event!(
@@ -103,18 +107,20 @@
                 }
             };
         }
-        self.whole.as_ref().map(|(_, bytes)| bytes.as_slice())
+        self.encoded_state
+            .as_ref()
+            .map(|(_, bytes)| bytes.as_slice())
     }
 }
 
-fn encoded_state<D: Disk>(node: &Node<D>) -> Result<Vec<u8>, NodeError> {
+fn encode_state<D: Disk>(node: &Node<D>) -> Result<Vec<u8>, NodeError> {
     let (index, state) = node.whole_state()?;
     Ok(FromReplica::Whole { index, state }.encode()?)
 }
 
-/// Entries after an index as one frame; `None` when they are no longer at hand or, with a line in the log, can't be
-/// encoded: the whole state is sent then.
-fn encoded_entries<D: Disk>(node: &Node<D>, after: u64) -> Option<Vec<u8>> {
+/// Entries after an index as one frame. `None` if they are no longer kept or cannot be encoded, which is
+/// logged; the complete state is sent instead.
+fn encode_entries<D: Disk>(node: &Node<D>, after: u64) -> Option<Vec<u8>> {
     let frame = FromReplica::Entries(node.entries_after(after)?);
     match frame.encode() {
         Ok(bytes) => Some(bytes),
--- a/crates/directory/src/daemon/housekeeping.rs
+++ b/crates/directory/src/daemon/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What the passing of time asks for: words to gateways, metrics, settings that changed.
+//! Periodic work: status messages to gateways, metrics, reports to the leader, settings reloads.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 use grebepin_telemetry::{event, Event};
 use mio::Token;
 
-use super::http_side::HttpConnection;
-use super::opening::changed_at;
-use super::server::Server;
+use super::event_loop::EventLoop;
+use super::http_connection::HttpConnection;
+use super::opening::modified_at;
 use crate::call::{Reply, UnavailableReason};
-use crate::fleet::{named_in_turn, FleetSummary, ReplicaReport};
+use crate::fleet::{rotate_relays, FleetSummary, ReplicaReport};
 use crate::link::{FromReplica, Head, ToReplica};
 use crate::node::NodeInput;
 use crate::settings::DirectorySettings;
 
-/// Time between two words to the gateways about this replica.
-const HEAD_EVERY: Duration = Duration::from_millis(500);
+/// Interval of the status messages to gateways.
+const STATUS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the settings file.
-pub(super) const SETTINGS_LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Interval between two checks of the settings file for changes.
+pub(super) const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rest after which a caller's connection is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
+/// Time without activity after which an HTTP connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Number of the present word about this replica.
-fn rounds_until(now: Duration) -> u64 {
-    (now.as_millis() / HEAD_EVERY.as_millis()) as u64
+/// Number of the current status interval; rotates the relays that are named.
+fn status_round(now: Duration) -> u64 {
+    (now.as_millis() / STATUS_INTERVAL.as_millis()) as u64
 }
 
-impl Server<'_> {
+impl EventLoop<'_> {
     pub(super) fn on_metrics(&mut self, now: Duration, token: Token) {
-        self.measure(now);
-        let registered = &self.registered;
+        self.update_gauges(now);
+        let metrics_registry = &self.metrics_registry;
         let answer = || TextAnswer {
             status: 200,
-            body: registered.render().unwrap_or_default(),
+            body: metrics_registry.render().unwrap_or_default(),
         };
         if let Some(metrics) = &mut self.metrics_server {
             let registry = self.poll.registry();
@@ -44,13 +44,15 @@
         }
     }
 
-    /// Brings the gauges up to date.
-    pub(super) fn measure(&self, now: Duration) {
+    /// Updates the gauges.
+    pub(super) fn update_gauges(&self, now: Duration) {
         let metrics = &self.metrics;
         let consensus = self.node.consensus();
         let applied = self.node.applied();
         metrics.term.set(consensus.term().0 as i64);
-        metrics.leads.set(i64::from(self.node.leads_surely(now)));
+        metrics
+            .leads
+            .set(i64::from(self.node.holds_leader_lease(now)));
         metrics.applied_index.set(applied as i64);
         let unapplied = consensus.last_index().0.saturating_sub(applied);
         metrics.unapplied_entries.set(unapplied as i64);
@@ -70,8 +72,8 @@
         metrics.evacuated_zones.set(evacuated as i64);
     }
 
-    pub(super) fn head(&self, now: Duration) -> Head {
-        let leads = self.node.leads_surely(now);
+    pub(super) fn status(&self, now: Duration) -> Head {
+        let leads = self.node.holds_leader_lease(now);
         Head {
             term: self.node.consensus().term().0,
             leads,
@@ -79,36 +81,36 @@
             replicas: self.node.replicas(),
             gateways: self.fleet.gateways(now, leads, self.followers()),
             is_fed: self.node.is_fed(now),
-            relays: self.fleet.some_relays(rounds_until(now)),
+            relays: self.fleet.select_relays(status_round(now)),
             votes: self.node.votes(),
         }
     }
 
-    /// At the leader: what other replicas are told of all gateways.
+    /// On the leader: the totals that other replicas receive.
     pub(super) fn fleet_summary(&self, now: Duration) -> FleetSummary {
         FleetSummary {
             gateways: self.fleet.gateways(now, true, self.followers()),
-            relays: self.fleet.some_relays(rounds_until(now)),
+            relays: self.fleet.select_relays(status_round(now)),
         }
     }
 
-    /// Gateways that follow this replica.
+    /// Number of gateways that follow this replica.
     fn followers(&self) -> u32 {
-        let links = self.inbound.values();
-        links.filter(|link| link.fed.is_some()).count() as u32
+        let links = self.inbound_links.values();
+        links.filter(|link| link.fed_index.is_some()).count() as u32
     }
 
-    /// Tells the leader what the gateways here reported, when it is time.
+    /// Reports the load and crashes collected from gateways to the leader when the report is due.
     pub(super) fn report_to_leader(&mut self, now: Duration) {
-        if !self.gathered.is_due(now) {
+        if !self.load_buffer.is_due(now) {
             return;
         }
-        if self.node.leads_surely(now) {
-            let load = self.gathered.take(now);
+        if self.node.holds_leader_lease(now) {
+            let load = self.load_buffer.take(now);
             if !load.is_empty() {
                 self.inputs.push(NodeInput::Load(load));
             }
-            let crashes = self.gathered_crashes.take();
+            let crashes = self.crash_reports.take();
             if !crashes.is_empty() {
                 self.inputs.push(NodeInput::Crashes(crashes));
             }
@@ -120,63 +122,62 @@
         let report = ReplicaReport {
             replica: self.settings.link_address().to_string(),
             gateways: self.followers(),
-            relays: self.own_relays(now),
-            load: self.gathered.take(now),
-            crashes: self.gathered_crashes.take(),
+            relays: self.connected_relays(now),
+            load: self.load_buffer.take(now),
+            crashes: self.crash_reports.take(),
         };
         self.send_peer(&leader, &ToReplica::ReplicaReport(report));
     }
 
-    /// Some of the gateways here that give the state on, others each time.
-    fn own_relays(&self, now: Duration) -> Vec<String> {
-        let relays = self.inbound.values().map(|link| &link.relay);
+    /// Some of the gateways connected here that relay the state; the selection rotates.
+    fn connected_relays(&self, now: Duration) -> Vec<String> {
+        let relays = self.inbound_links.values().map(|link| &link.relay);
         let relays: Vec<&String> = relays.filter(|relay| !relay.is_empty()).collect();
-        named_in_turn(&relays, rounds_until(now))
+        rotate_relays(&relays, status_round(now))
     }
 
-    /// What the passing of time asks for.
-    pub(super) fn do_housekeeping(&mut self) {
+    pub(super) fn run_periodic_tasks(&mut self) {
         let now = self.now();
         let is_fed = self.node.is_fed(now);
-        if now >= self.next_head || is_fed != self.announced_fed {
-            self.announced_fed = is_fed;
-            self.next_head = now + HEAD_EVERY;
+        if now >= self.next_status || is_fed != self.announced_is_fed {
+            self.announced_is_fed = is_fed;
+            self.next_status = now + STATUS_INTERVAL;
             if let Some(metrics) = &mut self.metrics_server {
                 metrics.close_resting(now);
             }
-            self.tell_heads(now);
+            self.send_statuses(now);
             self.peers.tick(now);
-            let relays = self.own_relays(now);
-            self.fleet.note_relays(now, &relays);
-            let idle = |http: &HttpConnection| !http.busy && now > http.active + IDLE_LIMIT;
-            self.https.retain(|_, http| !idle(http));
+            let relays = self.connected_relays(now);
+            self.fleet.record_relays(now, &relays);
+            let idle = |http: &HttpConnection| !http.busy && now > http.last_active + IDLE_TIMEOUT;
+            self.http_connections.retain(|_, http| !idle(http));
         }
         for id in self.calls.overdue(now) {
             self.reply(id, &Reply::Unavailable(UnavailableReason::LeaderSilent));
         }
         self.report_to_leader(now);
         self.flush_links();
-        if now >= self.next_settings_look || self.signals.take_reload() {
-            self.next_settings_look = now + SETTINGS_LOOK_EVERY;
-            self.look_at_settings();
+        if now >= self.next_settings_check || self.signals.take_reload() {
+            self.next_settings_check = now + SETTINGS_CHECK_INTERVAL;
+            self.reload_settings_if_changed();
         }
     }
 
-    pub(super) fn tell_heads(&mut self, now: Duration) {
+    pub(super) fn send_statuses(&mut self, now: Duration) {
         let mut frame = Vec::new();
-        let _ = encode_frame(&FromReplica::Head(self.head(now)), &mut frame);
-        self.inbound.retain(|_, link| {
+        let _ = encode_frame(&FromReplica::Head(self.status(now)), &mut frame);
+        self.inbound_links.retain(|_, link| {
             let is_gateway = !link.gateway.is_empty();
-            !is_gateway || (!link.is_silent(now) && link.send_bytes(&frame))
+            !is_gateway || (!link.is_timed_out(now) && link.send_bytes(&frame))
         });
     }
 
-    pub(super) fn look_at_settings(&mut self) {
-        let changed = changed_at(&self.settings_path);
-        if changed == self.settings_changed {
+    pub(super) fn reload_settings_if_changed(&mut self) {
+        let changed = modified_at(&self.settings_path);
+        if changed == self.settings_modified_at {
             return;
         }
-        self.settings_changed = changed;
+        self.settings_modified_at = changed;
         match DirectorySettings::load(&self.settings_path) {
             Ok(settings) => {
                 self.node.set_seeds(settings.seed_links());
--- a/crates/directory/src/daemon/http_side.rs
+++ b/crates/directory/src/daemon/http_connection.rs
@@ -1,4 +1,4 @@
-//! Connections of operators and servers.
+//! HTTP connections of operators and servers.
 
 use std::io::Write as _;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 
 use crate::dialect::HttpReply;
 
-/// Bounds on calls.
+/// Size limits of a request.
 const LIMITS: RequestLimits = RequestLimits {
     head_bytes: 16 << 10,
     body_bytes: 16 << 20,
 };
 
-/// Bytes taken in before a call must be whole.
+/// Maximum number of bytes buffered before a request must be complete.
 const BUFFER_LIMIT: usize = 17 << 20;
 
-/// One connection of a caller.
+/// HTTP connection of a client.
 #[derive(Debug)]
 pub(super) struct HttpConnection {
     pub(super) connection: Connection,
     reader: RequestReader,
-    /// Whether a call on it waits for its reply.
+    /// Whether a request on it is being processed.
     pub(super) busy: bool,
     keeps_alive: bool,
     closing: bool,
     ended: bool,
-    /// When something last happened on it.
-    pub(super) active: Duration,
+    /// Time of the last activity.
+    pub(super) last_active: Duration,
 }
 
 impl HttpConnection {
@@ -40,11 +40,11 @@
             keeps_alive: true,
             closing: false,
             ended: false,
-            active: now,
+            last_active: now,
         }
     }
 
-    /// Takes in what arrived; whether the connection is still of use.
+    /// Reads available bytes. Returns whether the connection can still be used.
     pub(super) fn fill(&mut self) -> bool {
         match self.connection.fill(BUFFER_LIMIT) {
             Ok(ReadOutcome::Closed) => self.ended = true,
@@ -54,7 +54,7 @@
         !self.ended || self.busy || !self.connection.inbound.is_empty()
     }
 
-    /// The next whole call, unless one is being answered.
+    /// The next complete request, unless one is being processed.
     pub(super) fn next_call(&mut self) -> Result<Option<Request>, BadRequest> {
         if self.busy || self.closing {
             return Ok(None);
@@ -70,7 +70,7 @@
         Ok(call)
     }
 
-    /// Writes a reply; whether the connection is still of use.
+    /// Writes a response. Returns whether the connection can still be used.
     pub(super) fn answer(&mut self, reply: &HttpReply, content_type: &str) -> bool {
         let connection = match self.keeps_alive {
             true => "keep-alive",
@@ -90,13 +90,13 @@
         self.flush()
     }
 
-    /// Refuses what can't be read, and closes.
+    /// Writes the response to a request that cannot be parsed, and closes the connection.
     pub(super) fn refuse(&mut self, reply: &HttpReply, content_type: &str) -> bool {
         self.keeps_alive = false;
         self.answer(reply, content_type)
     }
 
-    /// Sends what waits; whether the connection is still of use.
+    /// Sends buffered bytes. Returns whether the connection can still be used.
     pub(super) fn flush(&mut self) -> bool {
         match self.connection.flush() {
             Ok(true) if self.closing => {
--- a/crates/directory/src/daemon/link_side.rs
+++ b/crates/directory/src/daemon/link_connection.rs
@@ -1,4 +1,4 @@
-//! Connections that replicas and gateways opened to this replica.
+//! Inbound connections of replicas and gateways.
 
 use std::time::Duration;
 
@@ -6,45 +6,48 @@
 
 use crate::link::{FromReplica, ToReplica};
 
-/// Bytes taken in before a frame must be whole.
+/// Maximum number of bytes buffered before a frame must be complete.
 const BUFFER_LIMIT: usize = 65 << 20;
 
-/// Bytes that may wait for one peer; one that takes less is cut off and comes back.
+/// Maximum number of unsent bytes per peer. A peer that reads more slowly is disconnected and reconnects.
 const UNSENT_LIMIT: usize = 32 << 20;
 
-/// Time without bytes from a peer after which it counts as gone.
-const SILENCE_LIMIT: Duration = Duration::from_secs(5);
+/// Time without received bytes after which a peer counts as gone.
+const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One such connection.
+/// Inbound connection of a replica or gateway.
 #[derive(Debug)]
 pub(super) struct LinkConnection {
     pub(super) connection: Connection,
-    /// Log index up to which a gateway was fed; `None` for one that does not follow here.
-    pub(super) fed: Option<u64>,
-    /// Whether a gateway asked for the whole state once.
+    /// Log index up to which the gateway was sent entries; `None` for a peer that does not follow.
+    pub(super) fed_index: Option<u64>,
+    /// Whether the gateway requested the complete state once.
     pub(super) wants_state: bool,
-    /// Name of a gateway's machine; empty for a replica.
+    /// Name of the gateway's machine; empty for a replica.
     pub(super) gateway: String,
-    /// Where that gateway gives the state on; empty for nowhere.
+    /// Address at which the gateway relays the state; empty if it does not.
     pub(super) relay: String,
-    /// When something last came.
-    pub(super) heard: Duration,
+    /// Time of the last received bytes.
+    pub(super) last_received: Duration,
 }
 
 impl LinkConnection {
     pub(super) fn new(connection: Connection, now: Duration) -> Self {
-        connection.limit_silence(SILENCE_LIMIT);
+        connection.limit_silence(PEER_TIMEOUT);
         Self {
             connection,
-            fed: None,
+            fed_index: None,
             wants_state: false,
             gateway: String::new(),
             relay: String::new(),
-            heard: now,
+            last_received: now,
         }
     }
 
-    /// Frames that arrived; `Err` when the connection is of no further use.
+    /// Returns the frames received.
+    ///
+    /// # Errors
+    /// The connection can no longer be used.
     pub(super) fn take_frames(&mut self, now: Duration) -> Result<Vec<ToReplica>, FrameError> {
         let outcome = self.connection.fill(BUFFER_LIMIT);
         let mut frames = Vec::new();
@@ -52,26 +55,27 @@
             frames.push(frame);
         }
         self.connection.trim();
-        self.heard = now;
+        self.last_received = now;
         match outcome {
             Ok(ReadOutcome::Open | ReadOutcome::Full) => Ok(frames),
-            // Frames before an orderly end still count; the next read reports the end again.
+            // Frames received before an orderly close are still processed; the next read reports the close
+            // again.
             Ok(ReadOutcome::Closed) if !frames.is_empty() => Ok(frames),
             Ok(ReadOutcome::Closed) | Err(_) => Err(FrameError::TooLong { bytes: 0 }),
         }
     }
 
-    /// Takes a frame to be sent by [`LinkConnection::flush`].
+    /// Buffers a frame for the next [`LinkConnection::flush`].
     pub(super) fn queue(&mut self, frame: &FromReplica) {
         let _ = encode_frame(frame, self.connection.outbound());
     }
 
-    /// Sends what was queued; whether the connection is still of use.
+    /// Sends buffered frames. Returns whether the connection can still be used.
     pub(super) fn flush(&mut self) -> bool {
         self.connection.unsent() <= UNSENT_LIMIT && self.connection.flush().is_ok()
     }
 
-    /// Sends a frame; whether the connection is still of use.
+    /// Sends a frame. Returns whether the connection can still be used.
     pub(super) fn send(&mut self, frame: &FromReplica) -> bool {
         if encode_frame(frame, self.connection.outbound()).is_err() {
             return true;
@@ -79,14 +83,14 @@
         self.flush()
     }
 
-    /// Sends an encoded frame; whether the connection is still of use.
+    /// Sends an encoded frame. Returns whether the connection can still be used.
     pub(super) fn send_bytes(&mut self, frame: &[u8]) -> bool {
         self.connection.queue(frame);
         self.flush()
     }
 
-    /// Whether nothing came for so long that the peer counts as gone.
-    pub(super) fn is_silent(&self, now: Duration) -> bool {
-        now.saturating_sub(self.heard) > SILENCE_LIMIT
+    /// Whether nothing was received for so long that the peer counts as gone.
+    pub(super) fn is_timed_out(&self, now: Duration) -> bool {
+        now.saturating_sub(self.last_received) > PEER_TIMEOUT
     }
 }
--- a/crates/directory/src/daemon/mod.rs
+++ b/crates/directory/src/daemon/mod.rs
@@ -1,20 +1,20 @@
-//! The replica as a process: one thread that serves every connection and owns the node.
+//! The replica process: one thread that serves all connections and owns the node.
 //!
-//! Invariant: the thread waits for nobody but its own disk; what a peer does not take is bounded
-//! and then dropped.
+//! Invariant: the thread blocks on nothing but its own disk. Data that a peer does not read is buffered up to
+//! a limit and then dropped.
 
 mod bad_calls;
 mod calls;
 mod event_log;
+mod event_loop;
 mod feed;
 mod housekeeping;
-mod http_side;
-mod link_side;
+mod http_connection;
+mod link_connection;
 mod opening;
 mod peers;
-mod permitting;
+mod permit_relay;
 mod relaying;
-mod server;
 mod signals;
 
 use std::path::Path;
@@ -27,35 +27,35 @@
 use crate::dialect::Dialect;
 use crate::node::NodeError;
 use crate::settings::SettingsError;
-use server::Server;
+use event_loop::EventLoop;
 use signals::Signals;
 
 /// Why the process ends.
 #[derive(Debug, thiserror::Error)]
 pub enum DirectoryError {
-    /// The settings can't be used.
+    /// The settings cannot be used.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// A socket can't be opened or polled.
+    /// A socket cannot be opened or polled.
     #[error("network: {0}")]
     Network(#[from] std::io::Error),
-    /// The data folder can't be opened.
+    /// The data folder cannot be opened.
     #[error("data folder: {0}")]
     Disk(#[from] DiskError),
-    /// The metrics can't be registered.
+    /// The metrics cannot be registered.
     #[error("metrics: {0}")]
     Metrics(#[from] grebepin_telemetry::MetricsError),
-    /// The replica can't go on.
+    /// The replica cannot continue.
     #[error(transparent)]
     Node(#[from] NodeError),
 }
 
-/// Pause before a replica whose disk refused to write is opened anew.
-const REOPEN_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a replica is reopened after a failed disk operation.
+const REOPEN_DELAY: Duration = Duration::from_millis(300);
 
 impl DirectoryError {
-    /// Whether the disk refused an operation, which it may take later.
-    fn is_refused_write(&self) -> bool {
+    /// Whether a disk operation failed that may succeed later.
+    fn is_disk_failure(&self) -> bool {
         matches!(
             self,
             Self::Disk(DiskError::Io(_) | DiskError::Full)
@@ -63,7 +63,7 @@
         )
     }
 
-    /// Exit code of the process: 2 for settings, 1 for anything else.
+    /// Exit code of the process: 2 for unusable settings, 1 for any other error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Settings(_) => 2,
@@ -72,19 +72,19 @@
     }
 }
 
-/// Runs a replica until it is asked to stop. One whose disk refuses to write is opened anew again
-/// and again, as after a restart, until the disk takes writes.
+/// Runs a replica until the process is asked to stop. After a failed disk operation the replica is reopened,
+/// as after a restart, until the disk accepts writes again.
 ///
 /// # Errors
-/// The settings or the network are of no use, or the folder holds what can't be read.
+/// The settings or the network cannot be used, or the data folder cannot be read.
 pub fn run(settings: &Path, dialect: &dyn Dialect) -> Result<(), DirectoryError> {
     let signals = Signals::listen()?;
     loop {
-        let ended = Server::start(settings, dialect, &signals).and_then(Server::run);
+        let ended = EventLoop::start(settings, dialect, &signals).and_then(EventLoop::run);
         match ended {
-            Err(error) if error.is_refused_write() => {
+            Err(error) if error.is_disk_failure() => {
                 event!(Event::DirectoryFailed, error = error);
-                thread::sleep(REOPEN_PAUSE);
+                thread::sleep(REOPEN_DELAY);
             }
             ended => return ended,
         }
--- a/crates/directory/src/daemon/opening.rs
+++ b/crates/directory/src/daemon/opening.rs
@@ -1,4 +1,4 @@
-//! Opens the replica on its folder.
+//! Opens the node on its data folder.
 
 use std::path::Path;
 use std::time::{Duration, SystemTime};
@@ -12,10 +12,10 @@
 use crate::node::{Node, NodeConfig, NodeError, NodeTiming};
 use crate::settings::DirectorySettings;
 
-/// Silence after which a server without a lease counts as ended, in heartbeats.
+/// Number of heartbeat intervals without a heartbeat after which a server without a lease counts as gone.
 const FORGET_AFTER_HEARTBEATS: u32 = 10;
 
-pub(super) fn changed_at(path: &Path) -> Option<SystemTime> {
+pub(super) fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path)
         .and_then(|data| data.modified())
         .ok()
@@ -38,7 +38,7 @@
         bootstrap: settings.bootstrap,
         fault_tolerance: settings.fault_tolerance,
         may_vote: settings.tolerance_member,
-        fresh_replica: ReplicaId(rand::random::<u64>() & !1),
+        new_replica_id: ReplicaId(rand::random::<u64>() & !1),
         random_seed: rand::random(),
         timing: NodeTiming::regional(leases),
     };
@@ -55,7 +55,7 @@
                 offset = offset,
                 reason = reason
             );
-            give_up_folder(&settings.data_dir)?;
+            clear_data_folder(&settings.data_dir)?;
             let config = NodeConfig {
                 bootstrap: false,
                 ..config
@@ -70,8 +70,9 @@
     }
 }
 
-/// Empties a folder whose replica can't be trusted any more; it joins anew under another identity.
-fn give_up_folder(folder: &Path) -> std::io::Result<()> {
+/// Empties the data folder of a replica whose state is damaged; the replica joins again under a new
+/// identity.
+fn clear_data_folder(folder: &Path) -> std::io::Result<()> {
     for entry in std::fs::read_dir(folder)? {
         std::fs::remove_file(entry?.path())?;
     }
--- a/crates/directory/src/daemon/peers.rs
+++ b/crates/directory/src/daemon/peers.rs
@@ -1,4 +1,4 @@
-//! Connections that this replica opens to others.
+//! Outbound connections to other replicas.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::IpAddr;
@@ -9,43 +9,42 @@
 
 use crate::link::{FromReplica, ToReplica};
 
-/// Time a connection may take to come up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+/// Time within which a connection must be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for which sent bytes may stay unacknowledged.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_000);
+/// Maximum time for which sent bytes may remain unacknowledged.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Pause before a connection is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a failed connection is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bytes that may wait for one replica; frames beyond are dropped, which consensus bears.
+/// Maximum number of unsent bytes per replica. Further frames are dropped, which consensus tolerates.
 const UNSENT_LIMIT: usize = 8 << 20;
 
-/// Bytes taken in before a frame must be whole.
+/// Maximum number of bytes buffered before a frame must be complete.
 const BUFFER_LIMIT: usize = 65 << 20;
 
-/// One connection.
 #[derive(Debug)]
 struct PeerConnection {
     address: String,
     connection: Connection,
-    began: Duration,
+    started_at: Duration,
     connected: bool,
 }
 
-/// Connections to the other replicas.
+/// Outbound connections to the other replicas.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     by_token: HashMap<Token, PeerConnection>,
     by_address: HashMap<String, Token>,
-    /// Connections with frames that were not handed to the system yet.
+    /// Connections with frames that are not yet written to the socket.
     unsent: BTreeSet<Token>,
     retry_at: HashMap<String, Duration>,
     source: Option<IpAddr>,
 }
 
 impl Peers {
-    /// No connections yet; they come from `source` where it is given.
+    /// Starts without connections. Connections use `source` as their local address if it is set.
     pub(super) fn new(source: Option<IpAddr>) -> Self {
         Self {
             source,
@@ -53,13 +52,13 @@
         }
     }
 
-    /// Whether a token names one of these connections.
+    /// Whether a token belongs to one of these connections.
     pub(super) fn owns(&self, token: Token) -> bool {
         self.by_token.contains_key(&token)
     }
 
-    /// Takes a frame to be sent by [`Peers::flush`], or drops it. `token` names the connection if a new one
-    /// is begun; whether one was.
+    /// Buffers a frame for the next [`Peers::flush`], or drops it. If no connection to `address` exists, one
+    /// is opened with `token`. Returns whether that was the case.
     pub(super) fn queue(
         &mut self,
         now: Duration,
@@ -68,35 +67,36 @@
         address: &str,
         frame: &ToReplica,
     ) -> bool {
-        let began =
-            !self.by_address.contains_key(address) && self.begin(now, registry, token, address);
+        let opened =
+            !self.by_address.contains_key(address) && self.open(now, registry, token, address);
         let Some(token) = self.by_address.get(address).copied() else {
-            return began;
+            return opened;
         };
         let Some(peer) = self.by_token.get_mut(&token) else {
-            return began;
+            return opened;
         };
         if peer.connection.unsent() > UNSENT_LIMIT {
-            return began;
+            return opened;
         }
         if encode_frame(frame, peer.connection.outbound()).is_ok() {
             self.unsent.insert(token);
         }
-        began
+        opened
     }
 
-    /// Sends what was queued since: many frames to one replica are one write.
+    /// Sends buffered frames; all frames for one replica go into one write.
     pub(super) fn flush(&mut self, now: Duration) {
         for token in std::mem::take(&mut self.unsent) {
             let peer = self.by_token.get_mut(&token);
-            let broke = peer.is_some_and(|peer| peer.connected && peer.connection.flush().is_err());
-            if broke {
+            let failed =
+                peer.is_some_and(|peer| peer.connected && peer.connection.flush().is_err());
+            if failed {
                 self.drop_connection(now, token);
             }
         }
     }
 
-    fn begin(&mut self, now: Duration, registry: &Registry, token: Token, address: &str) -> bool {
+    fn open(&mut self, now: Duration, registry: &Registry, token: Token, address: &str) -> bool {
         if self.retry_at.get(address).is_some_and(|at| now < *at) {
             return false;
         }
@@ -104,14 +104,14 @@
             return false;
         };
         let Ok(connection) = Connection::connect(parsed, self.source, registry, token) else {
-            self.retry_at.insert(address.to_owned(), now + RETRY_PAUSE);
+            self.retry_at.insert(address.to_owned(), now + RETRY_DELAY);
             return false;
         };
-        connection.limit_silence(SILENCE_LIMIT);
+        connection.limit_silence(ACK_TIMEOUT);
         let peer = PeerConnection {
             address: address.to_owned(),
             connection,
-            began: now,
+            started_at: now,
             connected: false,
         };
         self.by_token.insert(token, peer);
@@ -119,7 +119,7 @@
         true
     }
 
-    /// Handles what happened on a connection; the frames that came.
+    /// Handles an event of a connection. Returns the frames received.
     pub(super) fn on_event(&mut self, now: Duration, token: Token) -> Vec<FromReplica> {
         let mut frames = Vec::new();
         if !self.advance(token, &mut frames) {
@@ -151,12 +151,12 @@
         is_open && peer.connection.flush().is_ok()
     }
 
-    /// Gives up connections that don't come up.
+    /// Drops connections that were not established in time.
     pub(super) fn tick(&mut self, now: Duration) {
         let late: Vec<Token> = self
             .by_token
             .iter()
-            .filter(|(_, peer)| !peer.connected && now > peer.began + CONNECT_LIMIT)
+            .filter(|(_, peer)| !peer.connected && now > peer.started_at + CONNECT_TIMEOUT)
             .map(|(token, _)| *token)
             .collect();
         for token in late {
@@ -167,7 +167,7 @@
     fn drop_connection(&mut self, now: Duration, token: Token) {
         if let Some(peer) = self.by_token.remove(&token) {
             self.by_address.remove(&peer.address);
-            self.retry_at.insert(peer.address, now + RETRY_PAUSE);
+            self.retry_at.insert(peer.address, now + RETRY_DELAY);
         }
     }
 }
--- a/crates/directory/src/daemon/relaying.rs
+++ b/crates/directory/src/daemon/relaying.rs
@@ -1,27 +1,27 @@
-//! Calls that this replica hands to the leader, and what it sends to other replicas.
+//! Relaying of calls to the leader, and messages to other replicas.
 
 use mio::Token;
 
 use super::calls::Origin;
-use super::server::Server;
+use super::event_loop::EventLoop;
 use crate::call::{Call, Reply, UnavailableReason};
 use crate::fleet::ReplicaReport;
 use crate::link::{FromReplica, ToReplica};
 use crate::node::{CallId, NodeInput};
 
-/// Servers whose heartbeats the leader takes alone.
-const SERVERS_OF_ONE_REPLICA: usize = 600;
+/// From this number of servers on, they are no longer told to send their heartbeats to the leader.
+const REDIRECT_SERVER_LIMIT: usize = 600;
 
-impl Server<'_> {
+impl EventLoop<'_> {
     pub(super) fn on_peer_frame(&mut self, frame: FromReplica) {
         match frame {
             FromReplica::Relayed { id, reply } => self.on_relayed(CallId(id), reply),
             FromReplica::Fleet(summary) => {
                 let now = self.now();
-                self.fleet.note_summary(now, &summary);
+                self.fleet.record_summary(now, &summary);
             }
             FromReplica::Permit { id, permit } => self.on_permit(id, permit),
-            // What gateways are told; a replica learns it from the log.
+            // Addressed to gateways; a replica receives the state through the log.
             FromReplica::Head(_)
             | FromReplica::Whole { .. }
             | FromReplica::Entries(_)
@@ -36,20 +36,20 @@
         let reply = match reply {
             Reply::Heartbeat { grant, .. } => Reply::Heartbeat {
                 grant,
-                endpoint: self.sends_on().then_some(leader),
+                endpoint: self.redirects_heartbeats().then_some(leader),
             },
             other => other,
         };
         self.reply(id, &reply);
     }
 
-    /// Another replica took this one for the leader and told what its gateways reported.
+    /// Handles a report of a replica that takes this one for the leader.
     pub(super) fn on_replica_report(&mut self, token: Token, report: ReplicaReport) {
         let now = self.now();
-        if !self.node.leads_surely(now) {
+        if !self.node.holds_leader_lease(now) {
             return;
         }
-        self.fleet.note_report(now, &report);
+        self.fleet.record_report(now, &report);
         if !report.load.is_empty() {
             self.inputs.push(NodeInput::Load(report.load));
         }
@@ -57,38 +57,38 @@
             self.inputs.push(NodeInput::Crashes(report.crashes));
         }
         let summary = self.fleet_summary(now);
-        if let Some(link) = self.inbound.get_mut(&token) {
+        if let Some(link) = self.inbound_links.get_mut(&token) {
             link.queue(&FromReplica::Fleet(summary));
             self.unsent_links.insert(token);
         }
     }
 
-    /// Sends what was queued for other replicas: however many calls and answers a turn relays, each replica
-    /// gets them in one write.
+    /// Sends the frames buffered for other replicas: all calls and answers relayed in one iteration of the
+    /// event loop reach each replica in one write.
     pub(super) fn flush_links(&mut self) {
         let now = self.now();
         self.peers.flush(now);
         for token in std::mem::take(&mut self.unsent_links) {
-            let link = self.inbound.get_mut(&token);
+            let link = self.inbound_links.get_mut(&token);
             if link.is_some_and(|link| !link.flush()) {
-                self.inbound.remove(&token);
+                self.inbound_links.remove(&token);
             }
         }
     }
 
-    /// Whether servers are sent on to the leader. With many of them their calls would be more than it can
-    /// take, so every replica keeps those that come to it and relays them.
-    fn sends_on(&self) -> bool {
-        self.node.catalog().instance_count() < SERVERS_OF_ONE_REPLICA
+    /// Whether servers are told to send their heartbeats to the leader. With many servers the leader could
+    /// not take all these calls, so every replica keeps the ones that reach it and relays them.
+    fn redirects_heartbeats(&self) -> bool {
+        self.node.catalog().instance_count() < REDIRECT_SERVER_LIMIT
     }
 
     pub(super) fn relay(&mut self, id: CallId, address: &str, endpoint: String, call: Call) {
-        // A call is relayed once; a replica that does not lead sends it back unanswered.
+        // A call is relayed only once; a replica that does not lead answers a relayed call as unavailable.
         if let Some(Origin::Replica(..)) = self.calls.origin(id) {
             return self.reply(id, &Reply::Unavailable(UnavailableReason::NoLeader));
         }
         let now = self.now();
-        self.calls.note_relayed(id, now, endpoint);
+        self.calls.record_relay(id, now, endpoint);
         self.send_peer(address, &ToReplica::Relay { id: id.0, call });
     }
 
--- a/crates/directory/src/daemon/signals.rs
+++ b/crates/directory/src/daemon/signals.rs
@@ -1,4 +1,4 @@
-//! Requests to stop and to reload, as the system's signals bring them.
+//! Requests to stop and to reload, received as SIGTERM and SIGHUP.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,7 +6,7 @@
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
-/// Signals that came; they outlive a replica that is opened anew.
+/// Pending signals. They persist when the replica is reopened.
 #[derive(Clone, Debug)]
 pub(super) struct Signals {
     stop: Arc<AtomicBool>,
@@ -14,7 +14,7 @@
 }
 
 impl Signals {
-    /// Begins to listen.
+    /// Installs the signal handlers.
     pub(super) fn listen() -> io::Result<Self> {
         let signals = Self {
             stop: Arc::new(AtomicBool::new(false)),
@@ -30,7 +30,7 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Whether the process was asked to reload since the last look.
+    /// Whether the process was asked to reload since the last call.
     pub(super) fn take_reload(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
--- a/crates/directory/src/dialect.rs
+++ b/crates/directory/src/dialect.rs
@@ -1,40 +1,40 @@
-//! How operators and servers speak to the directory: the port that a deployment's adapter fills.
+//! The HTTP interface between the directory and its operators and servers. Each deployment implements it.
 
 use crate::call::{Call, Reply};
 
-/// One HTTP call as it came in.
+/// An HTTP call as received.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpCall<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
-/// Answer to an HTTP call.
+/// Response to an HTTP call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpReply {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// Why a call can't be read.
+/// Why a call cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadCall {
-    /// No such call is known.
+    /// Method and path match no known call.
     #[error("unknown call")]
     Unknown,
-    /// The body does not read as the call's, or breaks one of its rules.
+    /// The body does not have the format of the call, or violates one of its rules.
     #[error("{0}")]
     Malformed(String),
 }
 
 impl BadCall {
-    /// Short name of the cause, for metrics and logs.
+    /// Value of the cause label in metrics and log lines.
     pub fn cause(&self) -> &'static str {
         match self {
             Self::Unknown => "unknown call",
@@ -43,20 +43,20 @@
     }
 }
 
-/// Names and bodies of the interface. It translates and decides nothing.
+/// Translates between HTTP calls and [`Call`]s. It makes no decisions.
 pub trait Dialect {
-    /// Reads a call.
+    /// Parses a call.
     ///
     /// # Errors
-    /// It is none that is known, or its body is malformed.
+    /// The call is unknown or its body is malformed.
     fn parse(&self, call: HttpCall<'_>) -> Result<Call, BadCall>;
 
-    /// Writes the outcome of a call.
+    /// Renders the outcome of a call.
     fn render(&self, reply: &Reply) -> HttpReply;
 
-    /// Writes the refusal of a call that can't be read.
+    /// Renders the response to a call that cannot be parsed.
     fn render_bad_call(&self, error: &BadCall) -> HttpReply;
 
-    /// Content type of the bodies.
+    /// Content type of all response bodies.
     fn content_type(&self) -> &'static str;
 }
--- a/crates/directory/src/fleet.rs
+++ b/crates/directory/src/fleet.rs
@@ -1,8 +1,9 @@
-//! The fleet of gateways as replicas know it together: each replica counts those that follow it and gathers
-//! what they report, the leader adds up what the replicas tell, and tells the sum back.
+//! Aggregation of gateway counts and load reports across replicas. Each replica counts the gateways that
+//! follow it and collects their reports; the leader sums up the counts of all replicas and returns the total
+//! to them.
 //!
-//! Invariant: a gateway that moves from one replica to another may be counted twice for a moment, and never
-//! not at all, so that what all gateways share is never divided by too few of them for that reason.
+//! Invariant: a gateway that moves from one replica to another may briefly be counted twice but is never left
+//! out, so that what all gateways share is never divided by too small a number because of the move.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,130 +13,131 @@
 
 use crate::crashes::CrashReport;
 
-/// Time between two words of a replica to the leader while its gateways report load. Adds half of itself to
-/// the age of a report; a fleet of 18 replicas costs the leader 120 frames a second.
-const LOAD_EVERY: Duration = Duration::from_millis(150);
+/// Interval of a replica's reports to the leader while its gateways report load. On average it adds half of
+/// itself to the age of a load sample; a fleet of 18 replicas costs the leader 120 frames per second.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The same without load.
-const COUNT_EVERY: Duration = Duration::from_millis(500);
+/// Interval of a replica's reports to the leader while there is no load to report.
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after which a replica that tells nothing counts for no gateways.
-const COUNT_LIFETIME: Duration = Duration::from_secs(3);
+/// How long a replica's gateway count is used after its last report.
+const REPORT_LIFETIME: Duration = Duration::from_secs(3);
 
-/// Time for which a gateway that was named as a relay is remembered.
+/// How long a relay is remembered after it was last reported.
 const RELAY_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Relays that one word names: a gateway follows two at a time, and learns others from the next words.
-const RELAYS_TOLD: usize = 3;
+/// Relays named in one message. A gateway follows two at a time and learns of others from later messages.
+const RELAYS_PER_MESSAGE: usize = 3;
 
-/// What a replica that does not lead tells the leader.
+/// Report of a replica to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaReport {
-    /// Internal address of the replica, `IP:PORT`.
+    /// Internal address of the reporting replica, `IP:PORT`.
     pub replica: String,
-    /// Gateways that follow it.
+    /// Number of gateways that follow it.
     pub gateways: u32,
-    /// Internal addresses of some of those that give the state on, `IP:PORT`.
+    /// Internal addresses of some of these gateways that relay the state to others, `IP:PORT`.
     pub relays: Vec<String>,
-    /// What they saw of load since the last word.
+    /// Load that its gateways measured since the last report.
     pub load: LoadSample,
-    /// Crashes that they told of since.
+    /// Crashes that its gateways reported since the last report.
     #[serde(default)]
     pub crashes: Vec<CrashReport>,
 }
 
-/// What the leader answers.
+/// The leader's answer to a [`ReplicaReport`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSummary {
-    /// Gateways that follow any replica.
+    /// Number of gateways that follow any replica.
     pub gateways: u32,
-    /// Internal addresses of some that give the state on, others each time, `IP:PORT`.
+    /// Internal addresses of some gateways that relay the state, `IP:PORT`; the selection rotates.
     pub relays: Vec<String>,
 }
 
-/// What a replica gathers from its gateways until it tells the leader.
+/// Load that a replica collects from its gateways between two reports to the leader.
 #[derive(Debug, Default)]
-pub struct Gathered {
+pub struct LoadBuffer {
     load: LoadSum,
-    told: Duration,
+    last_report: Duration,
 }
 
-impl Gathered {
-    /// A gateway reported.
+impl LoadBuffer {
+    /// Adds the load sample of a gateway.
     pub fn add(&mut self, load: &LoadSample) {
         self.load.add(load);
     }
 
-    /// Whether the leader should hear now.
+    /// Whether the next report to the leader is due.
     pub fn is_due(&self, now: Duration) -> bool {
         let pause = match self.load.is_empty() {
-            true => COUNT_EVERY,
-            false => LOAD_EVERY,
+            true => IDLE_REPORT_INTERVAL,
+            false => LOAD_REPORT_INTERVAL,
         };
-        now >= self.told + pause
+        now >= self.last_report + pause
     }
 
-    /// Takes what was gathered; it begins anew.
+    /// Removes and returns the collected load, and restarts the report interval.
     pub fn take(&mut self, now: Duration) -> LoadSample {
-        self.told = now;
+        self.last_report = now;
         self.load.take()
     }
 }
 
-/// All gateways, as the leader adds them up and other replicas are told.
+/// Gateway count and relays of the whole fleet, as summed up by the leader or as received from it.
 #[derive(Debug, Default)]
 pub struct Fleet {
     by_replica: BTreeMap<String, (Duration, u32)>,
     relays: BTreeMap<String, Duration>,
-    /// What the leader last told, at a replica that does not lead.
-    told_gateways: u32,
+    /// Number of gateways that the leader last reported; used on replicas that do not lead.
+    reported_gateways: u32,
 }
 
 impl Fleet {
-    /// At the leader: a replica told of its gateways.
-    pub fn note_report(&mut self, now: Duration, report: &ReplicaReport) {
+    /// On the leader: records the report of a replica.
+    pub fn record_report(&mut self, now: Duration, report: &ReplicaReport) {
         let counted = (now, report.gateways);
         self.by_replica.insert(report.replica.clone(), counted);
-        self.note_relays(now, &report.relays);
+        self.record_relays(now, &report.relays);
     }
 
-    /// At another replica: the leader told of all gateways.
-    pub fn note_summary(&mut self, now: Duration, summary: &FleetSummary) {
-        self.told_gateways = summary.gateways;
-        self.note_relays(now, &summary.relays);
+    /// On other replicas: records the totals received from the leader.
+    pub fn record_summary(&mut self, now: Duration, summary: &FleetSummary) {
+        self.reported_gateways = summary.gateways;
+        self.record_relays(now, &summary.relays);
     }
 
-    /// Takes in gateways that give the state on.
-    pub fn note_relays(&mut self, now: Duration, relays: &[String]) {
+    /// Records gateways that relay the state and drops those that have not been reported for some time.
+    pub fn record_relays(&mut self, now: Duration, relays: &[String]) {
         for relay in relays.iter().filter(|relay| !relay.is_empty()) {
             self.relays.insert(relay.clone(), now);
         }
-        self.relays.retain(|_, told| now < *told + RELAY_LIFETIME);
+        self.relays
+            .retain(|_, reported_at| now < *reported_at + RELAY_LIFETIME);
     }
 
-    /// All gateways, when so many follow this replica itself.
+    /// Number of gateways in the fleet; `own` is the number that follow this replica.
     pub fn gateways(&self, now: Duration, leads: bool, own: u32) -> u32 {
         if !leads {
-            return self.told_gateways.max(own);
+            return self.reported_gateways.max(own);
         }
         let counts = self.by_replica.values();
-        let fresh = counts.filter(|(told, _)| now < *told + COUNT_LIFETIME);
+        let fresh = counts.filter(|(reported_at, _)| now < *reported_at + REPORT_LIFETIME);
         own + fresh.map(|(_, gateways)| gateways).sum::<u32>()
     }
 
-    /// Some of the gateways that give the state on; `round` numbers the words, so that each names others.
-    pub fn some_relays(&self, round: u64) -> Vec<String> {
+    /// Some of the gateways that relay the state; the selection rotates with `round`.
+    pub fn select_relays(&self, round: u64) -> Vec<String> {
         let relays: Vec<&String> = self.relays.keys().collect();
-        named_in_turn(&relays, round)
+        rotate_relays(&relays, round)
     }
 }
 
-/// Some of the relays, others each round.
-pub(crate) fn named_in_turn(relays: &[&String], round: u64) -> Vec<String> {
-    let start = round as usize * RELAYS_TOLD % relays.len().max(1);
+/// Selects a few relays; the selection rotates with `round`.
+pub(crate) fn rotate_relays(relays: &[&String], round: u64) -> Vec<String> {
+    let start = round as usize * RELAYS_PER_MESSAGE % relays.len().max(1);
     let from_start = relays.iter().cycle().skip(start);
     from_start
-        .take(RELAYS_TOLD.min(relays.len()))
+        .take(RELAYS_PER_MESSAGE.min(relays.len()))
         .map(ToString::to_string)
         .collect()
 }
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,9 +1,9 @@
-//! The directory: a replicated group that takes in configuration items and servers' heartbeats,
-//! owns the division of keys, and feeds the gateways.
+//! The directory: a replicated group that stores configuration items, receives servers' heartbeats, assigns
+//! key ranges to servers and streams the resulting state to gateways.
 //!
-//! `call` and `link` say what is spoken, `node` decides (pure, over a disk that can be simulated),
-//! `daemon` moves bytes. The interface towards operators and servers is a [`Dialect`], so that its
-//! names and bodies are the deployment's own.
+//! `call` and `link` define the message types, `node` contains the decision logic (pure, over a disk that can
+//! be simulated), and `daemon` does the I/O. The HTTP interface for operators and servers is a [`Dialect`],
+//! so that each deployment defines its own paths and body formats.
 
 pub mod call;
 pub mod crashes;
--- a/crates/directory/src/link.rs
+++ b/crates/directory/src/link.rs
@@ -1,4 +1,4 @@
-//! Frames between directory replicas, and between them and the gateways, over one internal port.
+//! Frames exchanged between directory replicas, and between replicas and gateways, over the internal port.
 
 use grebepin_catalog::{Entry, InstanceId};
 use grebepin_grants::{LoadSample, Permit};
@@ -10,116 +10,116 @@
 use crate::crashes::CrashReport;
 use crate::fleet::{FleetSummary, ReplicaReport};
 
-/// Frame that the side which opened a connection sends.
+/// Frame sent by the side that opened the connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToReplica {
-    /// Between replicas: consensus and joining.
+    /// Between replicas: consensus messages and join requests.
     Peer(PeerFrame),
-    /// Between replicas: answer this call in the sender's place.
+    /// Between replicas: a call that the receiver answers on behalf of the sender.
     Relay {
-        /// Names the call on this connection.
+        /// Identifies the call on this connection.
         id: u64,
         /// The call.
         call: Call,
     },
-    /// A gateway asks for everything after a log index, and for what follows.
+    /// A gateway subscribes to all entries after a log index.
     Follow(Follow),
-    /// A gateway tells that it is there, with what it counted.
+    /// A gateway announces itself and reports its measurements.
     Report(GatewayReport),
-    /// Between replicas: what the sender's gateways told, for the leader.
+    /// Between replicas: the reports of the sender's gateways, for the leader.
     ReplicaReport(ReplicaReport),
-    /// A gateway that has no state yet, and hears no leader, asks for the whole state as it is applied here,
-    /// once.
+    /// A gateway that has no state yet and cannot reach a leader requests the complete state that this
+    /// replica has applied, once.
     FetchState,
-    /// A gateway asks to send a request to a server that states a rate; a replica passes it on to the leader.
+    /// A gateway requests permission to send a request to a server that states a rate; a replica that does
+    /// not lead relays it to the leader.
     TakePermit(PermitRequest),
 }
 
-/// A gateway asks to send one request to a server that states how many it takes.
+/// Request for permission to send one request to a server that states the rate of requests it accepts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Names the request on this connection.
+    /// Identifies the permit request on this connection.
     pub id: u64,
-    /// The server.
+    /// The server that would receive the request.
     pub server: InstanceId,
-    /// Requests a second that the server stated last, as the gateway knows it.
+    /// Requests per second that the server last stated, as known to the gateway.
     pub stated_rate: f64,
 }
 
-/// A gateway's wish to follow.
+/// Subscription of a gateway to the state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Follow {
     /// Name of the gateway's machine.
     pub node: String,
-    /// Highest log index that it has applied; 0 for none.
+    /// Highest log index that the gateway has applied; 0 for none.
     pub applied: u64,
 }
 
-/// What a gateway tells about itself.
+/// Periodic report of a gateway.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct GatewayReport {
     /// Name of the gateway's machine.
     pub node: String,
-    /// Internal address at which it gives the state on to others, `IP:PORT`; empty for none.
+    /// Internal address at which the gateway relays the state to others, `IP:PORT`; empty if it does not.
     pub relay: String,
-    /// What it saw of load since its last report.
+    /// Load that it measured since its last report.
     pub load: LoadSample,
-    /// Crashes of late, told again with each report.
+    /// Recent crashes, repeated in each report.
     #[serde(default)]
     pub crashes: Vec<CrashReport>,
 }
 
-/// Frame that a replica, or a gateway that gives the state on, sends back on a connection opened by the
-/// other side.
+/// Frame sent by the side that accepted the connection: a replica, or a gateway that relays the state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum FromReplica {
     /// Outcome of a relayed call.
     Relayed {
-        /// Names the call on this connection.
+        /// Identifies the call on this connection.
         id: u64,
-        /// Its outcome.
+        /// The outcome.
         reply: Reply,
     },
     /// The leader's answer to a replica's report.
     Fleet(FleetSummary),
-    /// What this replica is at present.
+    /// Current status of the sender.
     Head(Head),
-    /// The whole state at a log index, encoded as [`grebepin_catalog::Catalog`].
+    /// The complete state at a log index, encoded as [`grebepin_catalog::Catalog`].
     Whole {
-        /// The log index.
+        /// Log index of the state.
         index: u64,
-        /// The state.
+        /// The encoded state.
         #[serde(with = "serde_bytes")]
         state: Vec<u8>,
     },
-    /// The answer to a request for a permit.
+    /// Answer to a permit request.
     Permit {
-        /// Names the request on this connection.
+        /// Identifies the permit request on this connection.
         id: u64,
-        /// The leader's answer; `None` when none can be reached.
+        /// The leader's decision; `None` if no leader can be reached.
         permit: Option<Permit>,
     },
-    /// Entries in the order of the log, without a gap.
+    /// Consecutive log entries with their indices.
     Entries(Vec<(u64, Entry)>),
-    /// Another frame of this kind with its length, compressed.
+    /// Another frame of this type with its length prefix, compressed.
     Packed(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
-/// Longest frame that a packed one may hold, in bytes.
-const UNPACKED_LIMIT: usize = 128 << 20;
+/// Maximum size of a decompressed frame, in bytes.
+const MAX_UNPACKED_BYTES: usize = 128 << 20;
 
-/// Length in bytes above which a frame is packed.
-const PACKED_FROM: usize = 2_048;
+/// Size in bytes from which a frame is compressed.
+const COMPRESSION_THRESHOLD: usize = 2_048;
 
 impl FromReplica {
-    /// The frame with its length, packed when it is long.
+    /// Encodes the frame with its length prefix, compressed if it is large.
     ///
     /// # Errors
-    /// It can't be encoded.
+    /// The frame cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, FrameError> {
         let mut bytes = Vec::new();
         encode_frame(self, &mut bytes)?;
-        if bytes.len() < PACKED_FROM {
+        if bytes.len() < COMPRESSION_THRESHOLD {
             return Ok(bytes);
         }
         let Ok(packed) = pack(&bytes) else {
@@ -130,15 +130,15 @@
         Ok(frame)
     }
 
-    /// The frame itself, out of a packed one.
+    /// Decompresses a packed frame; returns any other frame unchanged.
     ///
     /// # Errors
-    /// The packed bytes hold no frame.
+    /// The packed bytes do not contain a frame.
     pub fn unpacked(self) -> Result<Self, FrameError> {
         let Self::Packed(packed) = self else {
             return Ok(self);
         };
-        let Ok(mut bytes) = unpack(&packed, UNPACKED_LIMIT) else {
+        let Ok(mut bytes) = unpack(&packed, MAX_UNPACKED_BYTES) else {
             return Err(FrameError::TooLong {
                 bytes: packed.len(),
             });
@@ -152,34 +152,35 @@
     }
 }
 
-/// Where a replica is reached, and what it counts for.
+/// Address, zone and role of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaAddress {
     /// Internal address, `IP:PORT`.
     pub address: String,
-    /// Zone that it stands in.
+    /// Zone of the replica.
     pub zone: String,
     /// Whether it is a voter of the group.
     pub votes: bool,
 }
 
-/// What a replica, or a gateway that gives the state on, is at present.
+/// Current status of a replica, or of a gateway that relays the state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// Consensus term.
     pub term: u64,
-    /// Whether it leads and is sure of it.
+    /// Whether it leads and holds a valid leader lease.
     pub leads: bool,
-    /// Log index that it has applied.
+    /// Highest log index that it has applied.
     pub applied: u64,
-    /// All replicas.
+    /// All replicas of the group.
     pub replicas: Vec<ReplicaAddress>,
-    /// Gateways that follow any replica, as the leader last counted them; 0 when that is not known.
+    /// Number of gateways that follow any replica, as last counted by the leader; 0 if unknown.
     pub gateways: u32,
-    /// Whether what it gives on is fresh: it leads, or it holds what a leader that speaks to it has committed.
+    /// Whether the state that it serves is fresh: it leads, or it has applied everything that a leader in
+    /// contact with it has committed.
     pub is_fed: bool,
-    /// Internal addresses of some gateways that give the state on, `IP:PORT`.
+    /// Internal addresses of some gateways that relay the state, `IP:PORT`.
     pub relays: Vec<String>,
-    /// Whether it is a voter of the group: what it ever acknowledged is on its disk.
+    /// Whether it is a voter of the group: everything that it ever acknowledged is on its disk.
     pub votes: bool,
 }
--- a/crates/directory/src/node/config.rs
+++ b/crates/directory/src/node/config.rs
@@ -9,36 +9,36 @@
 use grebepin_schema::{GroupId, Member, MemberRole, ReplicaId, SocketAddress, ZoneName};
 use serde::Deserialize;
 
-/// The directory has one control group.
+/// The directory has a single consensus group.
 pub(super) const GROUP: GroupId = GroupId(0);
 
-/// Durations of one replica; the same in the whole group.
+/// Timing of one replica; identical in the whole group.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeTiming {
-    /// Least time without a leader's message before an election.
+    /// Minimum time without a message from a leader before a replica starts an election.
     pub election_timeout: Duration,
-    /// Time between a leader's rounds.
-    pub round: Duration,
-    /// Least time between two messages with news to one learner, and so what it adds to the age of what the learner's
-    /// gateways hold.
-    pub learner_pause: Duration,
-    /// Time between two looks at leases and members.
+    /// Interval of the leader's heartbeats to the other members.
+    pub heartbeat_interval: Duration,
+    /// Minimum time between two messages with new entries to one learner. It adds as much to the age of the
+    /// state that the learner's gateways hold.
+    pub learner_send_interval: Duration,
+    /// Interval at which the leader checks leases and members.
     pub tick: Duration,
-    /// Silence after which a voter is replaced by a learner that has caught up.
+    /// How long a voter may be unresponsive before a caught-up learner replaces it.
     pub replace_after: Duration,
-    /// Entries after which a snapshot is saved.
+    /// Number of applied entries after which a snapshot is saved.
     pub snapshot_every: u64,
-    /// Durations of servers' leases.
+    /// Timing of server leases.
     pub leases: Timing,
 }
 
 impl NodeTiming {
-    /// Durations for a group on one region's network, with these leases.
+    /// Timing for a group within one region, with the given lease timing.
     pub fn regional(leases: Timing) -> Self {
         Self {
             election_timeout: Duration::from_millis(250),
-            round: Duration::from_millis(60),
-            learner_pause: Duration::from_millis(25),
+            heartbeat_interval: Duration::from_millis(60),
+            learner_send_interval: Duration::from_millis(25),
             tick: Duration::from_millis(100),
             replace_after: Duration::from_millis(2_500),
             snapshot_every: 4_000,
@@ -47,15 +47,15 @@
     }
 }
 
-/// What may be lost at the same time without losing anything acknowledged.
+/// What may be lost at the same time without losing acknowledged data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Machines that replicas stand on, with their disks.
+    /// Number of machines that host replicas, including their disks.
     pub machines: usize,
-    /// Zones, each whole.
+    /// Number of complete zones.
     pub zones: usize,
-    /// Regions, each whole.
+    /// Number of complete regions.
     pub regions: usize,
 }
 
@@ -70,8 +70,8 @@
 }
 
 impl FaultTolerance {
-    /// Voters of a whole group: a majority of them is left when as many as may be lost at once are gone.
-    /// Spread evenly, one zone or region holds no more of them than one loss may take.
+    /// Number of voters the group should have: after the maximum tolerated loss, a majority of them remains.
+    /// If they are spread evenly, a zone or region holds no more of them than one loss may take.
     pub fn wanted_voters(self) -> usize {
         let losses = self.machines.max(self.zones).max(self.regions);
         2 * losses.max(1) + 1
@@ -83,7 +83,7 @@
 pub struct NodeConfig {
     /// Zone of the replica.
     pub zone: String,
-    /// Zones of the deployment, which an evacuation may name; any may be named when this is empty.
+    /// Zones of the deployment that an evacuation may name; if empty, any zone may be named.
     pub zones: BTreeSet<String>,
     /// Internal address.
     pub link_address: SocketAddr,
@@ -91,17 +91,18 @@
     pub control_address: SocketAddr,
     /// Internal addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
-    /// Identity to take in an empty folder that is not founded; never used before.
-    pub fresh_replica: ReplicaId,
-    /// What the group must be able to lose at once.
+    /// Identity for an empty data folder that does not found the group; must never have been used before.
+    pub new_replica_id: ReplicaId,
+    /// What the group must be able to lose at the same time.
     pub fault_tolerance: FaultTolerance,
-    /// Whether this machine is one of those whose losses are bounded; any other only observes.
+    /// Whether this machine counts towards the tolerated losses; a replica on any other machine is an
+    /// observer.
     pub may_vote: bool,
-    /// Seed of the random waits.
+    /// Seed of the randomized timeouts.
     pub random_seed: u64,
-    /// Durations.
+    /// Timing.
     pub timing: NodeTiming,
 }
 
@@ -111,21 +112,21 @@
             group: GROUP,
             id: replica,
             election_timeout: self.timing.election_timeout,
-            heartbeat: self.timing.round,
-            learner_pause: self.timing.learner_pause,
+            heartbeat: self.timing.heartbeat_interval,
+            learner_pause: self.timing.learner_send_interval,
             drift_percent: 2,
             seed: self.random_seed,
             guards: Guards::all(),
         }
     }
 
-    /// Whether an evacuation may name a zone.
-    pub(super) fn knows_zone(&self, zone: &str) -> bool {
+    /// Whether an evacuation may name this zone.
+    pub(super) fn is_known_zone(&self, zone: &str) -> bool {
         self.zones.is_empty() || self.zones.contains(zone)
     }
 
-    /// This replica as it asks to be taken in.
-    pub(super) fn newcomer(&self, replica: ReplicaId) -> Member {
+    /// This replica as described in its join requests.
+    pub(super) fn joining_member(&self, replica: ReplicaId) -> Member {
         let role = match self.may_vote {
             true => MemberRole::Learner,
             false => MemberRole::Observer,
@@ -140,7 +141,6 @@
     }
 }
 
-/// A member with these addresses.
 pub(super) fn member(
     replica: ReplicaId,
     role: MemberRole,
@@ -158,7 +158,7 @@
     }
 }
 
-/// Zone of a founder until it tells its own: seeds are known by their addresses only.
+/// Zone of a founder until it reports its own: founders know each other only by the addresses of the seeds.
 pub(super) const UNKNOWN_ZONE: &str = "unknown";
 
 pub(super) fn socket_address(address: SocketAddr) -> SocketAddress {
--- a/crates/directory/src/node/founding.rs
+++ b/crates/directory/src/node/founding.rs
@@ -1,8 +1,8 @@
-//! Opens a node on its disk; founds the group from its seeds or joins it.
+//! Opens a node on its disk and founds the group from its seeds or prepares to join it.
 //!
-//! Invariant: the identity of a founder is worked out from its address and used only on the first
-//! start of the whole system; any other empty folder gets a fresh identity, so that a replica that
-//! forgot its votes never comes back as the one who gave them.
+//! Invariant: a founder's identity is derived from its address and used only on the first start of the whole
+//! system. Any other empty data folder gets a new identity, so that a replica that lost its votes never
+//! returns under the identity that cast them.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,17 +21,17 @@
 use super::config::{member, NodeConfig, GROUP, UNKNOWN_ZONE};
 use super::membership::Joining;
 use super::messages::{NodeOutput, Notice};
-use super::waiting::Waiting;
+use super::pending_calls::PendingCalls;
 use super::{Node, NodeError};
 
-/// Where the founding membership stands in every founder's log.
+/// Log index of the founding membership, the same on every founder.
 const FOUNDING_INDEX: LogIndex = LogIndex(1);
 
 impl<D: Disk> Node<D> {
-    /// Opens the node; an empty folder is founded or prepared to join.
+    /// Opens the node. An empty data folder founds the group or is prepared to join it.
     ///
     /// # Errors
-    /// The folder is damaged or can't be read or written.
+    /// The data folder is damaged or cannot be read or written.
     pub fn open(config: NodeConfig, disk: D, now: Duration) -> Result<Self, NodeError> {
         let mut outputs = Vec::new();
         let (storage, restored) = match ReplicaStorage::open(disk)? {
@@ -63,12 +63,12 @@
             catalog,
             applied,
             replay_until,
-            recent: VecDeque::new(),
+            recent_entries: VecDeque::new(),
             log_writer,
             leadership: None,
-            waiting: Waiting::default(),
+            pending_calls: PendingCalls::default(),
             joining: Joining::new(now + config.timing.election_timeout),
-            caught_up: None,
+            caught_up_at: None,
             outputs,
             config,
         })
@@ -83,7 +83,7 @@
     let founds = config.bootstrap && config.seeds.contains(&config.link_address);
     if !founds {
         let identity = Identity {
-            replica: config.fresh_replica,
+            replica: config.new_replica_id,
             group: GROUP,
             cluster: None,
         };
@@ -146,14 +146,14 @@
     }
 }
 
-/// The replicated state as bytes.
+/// Encodes the replicated state.
 pub(super) fn encode_catalog(catalog: &Catalog) -> Result<Vec<u8>, FrameError> {
     let mut frame = Vec::new();
     grebepin_reactor::encode_frame(catalog, &mut frame)?;
     Ok(frame)
 }
 
-/// The replicated state from its bytes.
+/// Decodes the replicated state.
 pub(super) fn decode_catalog(bytes: &[u8]) -> Result<Catalog, FrameError> {
     decode_frame(bytes.get(4..).unwrap_or_default())
 }
--- a/crates/directory/src/node/leading.rs
+++ b/crates/directory/src/node/leading.rs
@@ -1,4 +1,4 @@
-//! What a leader does with calls, and what the others do with them.
+//! Handling of calls on the leader, relaying of calls on other replicas, and the periodic work of a leader.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,33 +11,34 @@
 use grebepin_storage::Disk;
 
 use super::messages::{CallId, NodeOutput, Notice};
-use super::waiting::EntryWaiter;
+use super::pending_calls::EntryWaiter;
 use super::Node;
 use crate::call::{Call, GrantedKeys, GrantedRow, ItemDocument, Reply, UnavailableReason};
-use crate::crashes::CrashBook;
+use crate::crashes::CrashTracker;
 
-/// One unbroken time as the leader.
+/// State of an uninterrupted period of leadership.
 pub(super) struct Leadership {
     pub(super) term: Term,
     pub(super) coordinator: Coordinator,
-    pub(super) crashes: CrashBook,
+    pub(super) crashes: CrashTracker,
     pub(super) next_tick: Duration,
-    pub(super) began: Duration,
-    /// Replicas that asked to be taken in, or told another zone than the membership has.
-    pub(super) newcomers: BTreeMap<ReplicaId, Member>,
-    /// Whether the group was short of voters at the last look.
+    pub(super) started_at: Duration,
+    /// Replicas that asked to join, or that report a zone other than the one in the membership.
+    pub(super) pending_members: BTreeMap<ReplicaId, Member>,
+    /// Whether the group had fewer voters than wanted at the last check.
     pub(super) is_short_of_voters: bool,
 }
 
 impl<D: Disk> Node<D> {
-    /// Whether this replica leads, has everything acknowledged before applied, and is inside its lease.
-    pub fn leads_surely(&self, now: Duration) -> bool {
+    /// Whether this replica leads, has applied everything acknowledged before its term, and is within its
+    /// leader lease.
+    pub fn holds_leader_lease(&self, now: Duration) -> bool {
         let lease = self.consensus.leader_lease_until().unwrap_or_default();
         self.leadership.is_some() && now < lease
     }
 
-    /// Begins, ends and ticks the leader's time.
-    pub(super) fn follow_leadership(&mut self, now: Duration) {
+    /// Starts, ends and ticks the leadership according to the consensus state.
+    pub(super) fn update_leadership(&mut self, now: Duration) {
         let term = self.consensus.term();
         if self.leadership.as_ref().is_some_and(|one| one.term != term) {
             self.end_leadership();
@@ -50,28 +51,29 @@
     }
 
     fn begin_leadership(&mut self, now: Duration, term: Term) {
-        // Later than the election, so that it bounds every lease that an earlier leader gave.
+        // `now` is after the election, so it is an upper bound for the start of every lease that an earlier
+        // leader granted.
         let coordinator = Coordinator::new(self.config.timing.leases, now);
         self.leadership = Some(Leadership {
             term,
             coordinator,
-            crashes: CrashBook::default(),
+            crashes: CrashTracker::default(),
             next_tick: now,
-            began: now,
-            newcomers: BTreeMap::new(),
+            started_at: now,
+            pending_members: BTreeMap::new(),
             is_short_of_voters: false,
         });
-        self.notice(Notice::Leads { term: term.0 });
+        self.push_notice(Notice::Leads { term: term.0 });
         self.outputs.push(NodeOutput::LeadershipChanged);
     }
 
     pub(super) fn end_leadership(&mut self) {
         if self.leadership.take().is_some() {
             let term = self.consensus.term().0;
-            self.notice(Notice::Follows { term });
+            self.push_notice(Notice::Follows { term });
             self.outputs.push(NodeOutput::LeadershipChanged);
         }
-        for call in self.waiting.take_all() {
+        for call in self.pending_calls.take_all() {
             self.reply(call, Reply::Unavailable(UnavailableReason::LostLeadership));
         }
     }
@@ -85,26 +87,26 @@
         }
         leadership.next_tick = now + self.config.timing.tick;
         let mut commands = leadership.coordinator.tick(now, &self.catalog);
-        commands.extend(leadership.crashes.due(now, &self.catalog));
+        commands.extend(leadership.crashes.due_commands(now, &self.catalog));
         if !commands.is_empty() {
-            // Commands that can't be proposed now come up again at a later tick.
+            // Commands that cannot be proposed now are generated again at a later tick.
             let _ = self.propose(now, commands);
         }
-        self.keep_members(now);
-        self.watch_voters();
+        self.change_membership_if_due(now);
+        self.report_voter_count();
     }
 
-    pub(super) fn take_in_call(&mut self, now: Duration, id: CallId, call: Call) {
+    pub(super) fn handle_call(&mut self, now: Duration, id: CallId, call: Call) {
         if self.leadership.is_none() {
             return self.relay(id, call);
         }
         match call {
-            Call::Heartbeat(beat) => self.take_in_beat(now, id, beat),
-            Call::Leave(server) => self.take_in_leave(now, id, server),
-            Call::ChangeItems(change) => self.take_in_change(now, id, change),
-            Call::ReadItems => self.take_in_read(now, id),
+            Call::Heartbeat(heartbeat) => self.handle_heartbeat(now, id, heartbeat),
+            Call::Leave(server) => self.handle_leave(now, id, server),
+            Call::ChangeItems(change) => self.handle_change(now, id, change),
+            Call::ReadItems => self.handle_read(now, id),
             Call::SetEvacuation { zone, evacuated } => {
-                self.take_in_evacuation(now, id, zone, evacuated);
+                self.handle_evacuation(now, id, zone, evacuated);
             }
         }
     }
@@ -131,11 +133,14 @@
         self.outputs.push(output);
     }
 
-    fn take_in_beat(&mut self, now: Duration, id: CallId, beat: Beat) {
+    fn handle_heartbeat(&mut self, now: Duration, id: CallId, heartbeat: Beat) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        match leadership.coordinator.on_beat(now, &self.catalog, &beat) {
+        match leadership
+            .coordinator
+            .on_beat(now, &self.catalog, &heartbeat)
+        {
             BeatOutcome::Stale => self.reply(
                 id,
                 Reply::Heartbeat {
@@ -143,22 +148,28 @@
                     endpoint: None,
                 },
             ),
-            BeatOutcome::Fresh(commands) if commands.is_empty() => self.answer_beat(now, id, &beat),
+            BeatOutcome::Fresh(commands) if commands.is_empty() => {
+                self.answer_heartbeat(now, id, &heartbeat)
+            }
             BeatOutcome::Fresh(commands) => {
-                self.propose_for(now, commands, EntryWaiter::Beat(id, Box::new(beat)));
+                self.propose_for(
+                    now,
+                    commands,
+                    EntryWaiter::Heartbeat(id, Box::new(heartbeat)),
+                );
             }
         }
     }
 
     /// Answers a heartbeat whose commands are applied.
-    pub(super) fn answer_beat(&mut self, now: Duration, id: CallId, beat: &Beat) {
-        if !self.leads_surely(now) {
+    pub(super) fn answer_heartbeat(&mut self, now: Duration, id: CallId, heartbeat: &Beat) {
+        if !self.holds_leader_lease(now) {
             return self.reply(id, Reply::Unavailable(UnavailableReason::LeaseOver));
         }
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let grant = leadership.coordinator.grant(now, &self.catalog, beat);
+        let grant = leadership.coordinator.grant(now, &self.catalog, heartbeat);
         let reply = Reply::Heartbeat {
             grant: grant.map(granted_keys),
             endpoint: None,
@@ -166,10 +177,12 @@
         self.reply(id, reply);
     }
 
-    fn take_in_leave(&mut self, now: Duration, id: CallId, server: InstanceId) {
-        let server = self.life_that_leaves(server);
+    fn handle_leave(&mut self, now: Duration, id: CallId, server: InstanceId) {
+        let server = self.leaving_incarnation(server);
         let known = self.catalog.instance(&server);
-        if known.is_none_or(|known| known.state != InstanceState::Ready) && self.leads_surely(now) {
+        if known.is_none_or(|known| known.state != InstanceState::Ready)
+            && self.holds_leader_lease(now)
+        {
             return self.reply(id, Reply::Left);
         }
         let command = Command::SetState {
@@ -179,8 +192,9 @@
         self.propose_for(now, vec![command], EntryWaiter::Leave(id));
     }
 
-    /// The life that a server means by its leave: the latest one known when it does not state its start.
-    fn life_that_leaves(&self, server: InstanceId) -> InstanceId {
+    /// The incarnation that a leave call refers to: the latest known one if the call does not state its start
+    /// time.
+    fn leaving_incarnation(&self, server: InstanceId) -> InstanceId {
         if server.states_start() {
             return server;
         }
@@ -188,8 +202,8 @@
         latest.map_or(server, |latest| latest.id.clone())
     }
 
-    fn take_in_change(&mut self, now: Duration, id: CallId, change: ItemChange) {
-        if !self.leads_surely(now) {
+    fn handle_change(&mut self, now: Duration, id: CallId, change: ItemChange) {
+        if !self.holds_leader_lease(now) {
             return self.reply(id, Reply::Unavailable(UnavailableReason::LeaseOver));
         }
         if self.awaits_voters(now) {
@@ -206,31 +220,32 @@
         );
     }
 
-    /// Proposes an evacuation or its end, also when it is in force: the order may come again after a lost
-    /// answer, and only a committed entry proves that no earlier leader's word is stale.
-    fn take_in_evacuation(&mut self, now: Duration, id: CallId, zone: String, evacuated: bool) {
-        if !self.leads_surely(now) {
+    /// Proposes the start or end of an evacuation even if it is already in force: the call may be a retry
+    /// after a lost reply, and only a newly committed entry proves that no earlier leader's decision is
+    /// stale.
+    fn handle_evacuation(&mut self, now: Duration, id: CallId, zone: String, evacuated: bool) {
+        if !self.holds_leader_lease(now) {
             return self.reply(id, Reply::Unavailable(UnavailableReason::LeaseOver));
         }
         if self.awaits_voters(now) {
             return self.reply(id, Reply::Unavailable(UnavailableReason::FewVoters));
         }
-        if !self.config.knows_zone(&zone) {
+        if !self.config.is_known_zone(&zone) {
             return self.reply(id, Reply::UnknownZone(zone));
         }
         let command = Command::SetEvacuation { zone, evacuated };
         self.propose_for(now, vec![command], EntryWaiter::Evacuation(id));
     }
 
-    fn take_in_read(&mut self, now: Duration, id: CallId) {
+    fn handle_read(&mut self, now: Duration, id: CallId) {
         match self.consensus.request_read(now) {
-            Ok(read) => self.waiting.add_read(read, id),
+            Ok(read) => self.pending_calls.add_read(read, id),
             Err(error) => self.reply(id, Reply::Unavailable(reason(&error))),
         }
     }
 
     pub(super) fn answer_reads(&mut self) {
-        for call in self.waiting.take_confirmed(self.applied) {
+        for call in self.pending_calls.take_confirmed(self.applied) {
             let items = self.catalog.items().in_force().map(document).collect();
             self.reply(call, Reply::Items(items));
         }
@@ -238,7 +253,7 @@
 
     fn propose_for(&mut self, now: Duration, commands: Vec<Command>, waiter: EntryWaiter) {
         match self.propose(now, commands) {
-            Ok((term, index)) => self.waiting.add_entry(term, index, waiter),
+            Ok((term, index)) => self.pending_calls.add_entry(term, index, waiter),
             Err(reason) => self.reply(waiter.call(), Reply::Unavailable(reason)),
         }
     }
--- a/crates/directory/src/node/membership.rs
+++ b/crates/directory/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the group: joining, and one change of membership after the other.
+//! Membership of the group: join requests and successive membership changes.
 //!
 //! Invariant: one member changes at a time.
 
@@ -17,23 +17,24 @@
 use super::Node;
 use crate::link::ReplicaAddress;
 
-/// Most members, voters and learners: a bound on what one leader sends to at all, well above the control
-/// machines of any deployment planned.
+/// Maximum number of members, voters and learners together. It bounds the number of replicas that one leader
+/// sends to and is well above the number of control machines of any planned deployment.
 const MAXIMUM_MEMBERS: usize = 128;
 
-/// Silence after which a learner is taken off the list.
-const LEARNER_FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
+/// Time without contact after which a learner is removed from the membership.
+const LEARNER_REMOVAL_DELAY: Duration = Duration::from_secs(20);
 
-/// Where and when to ask to be taken in.
+/// State of this replica's attempts to join.
 #[derive(Debug)]
 pub(super) struct Joining {
     pub(super) next_at: Duration,
     next_seed: usize,
-    hint: Option<SocketAddress>,
-    /// Where the leader was when a replica last told; a newcomer's own log names no member yet.
-    told_leader: Option<SocketAddress>,
+    leader_hint: Option<SocketAddress>,
+    /// Address of the leader as last reported by another replica; the log of a replica that is joining names
+    /// no member yet.
+    reported_leader: Option<SocketAddress>,
     /// When this replica last knew a leader.
-    leader_seen: Duration,
+    leader_last_known: Duration,
 }
 
 impl Joining {
@@ -41,15 +42,15 @@
         Self {
             next_at,
             next_seed: 0,
-            hint: None,
-            told_leader: None,
-            leader_seen: Duration::ZERO,
+            leader_hint: None,
+            reported_leader: None,
+            leader_last_known: Duration::ZERO,
         }
     }
 }
 
 impl<D: Disk> Node<D> {
-    /// Internal addresses of all replicas known.
+    /// Internal addresses of all known replicas.
     fn replica_addresses(&self) -> Vec<String> {
         let members = self.consensus.membership().members.iter();
         members
@@ -57,7 +58,7 @@
             .collect()
     }
 
-    /// All replicas known, for gateways.
+    /// All known replicas, for gateways.
     pub fn replicas(&self) -> Vec<ReplicaAddress> {
         let members = self.consensus.membership().members.iter();
         members
@@ -69,7 +70,7 @@
             .collect()
     }
 
-    /// Internal address of another replica that leads.
+    /// Internal address of the leader if it is another replica.
     pub fn other_leader(&self) -> Option<String> {
         let leader = self.leader_address()?;
         let own = socket_address(self.config.link_address);
@@ -82,8 +83,8 @@
         voters.any(|member| member.replica == self.replica)
     }
 
-    /// Asks to be taken in while no leader speaks to this replica.
-    pub(super) fn keep_joining(&mut self, now: Duration) {
+    /// Sends join requests at intervals while no leader is in contact with this replica.
+    pub(super) fn join_if_due(&mut self, now: Duration) {
         if now < self.joining.next_at {
             return;
         }
@@ -91,30 +92,30 @@
         self.joining.next_at = now + interval;
         let knows_members = !self.consensus.membership().members.is_empty();
         if knows_members && self.consensus.leader().is_some() {
-            self.joining.leader_seen = now;
-            return self.correct_zone();
+            self.joining.leader_last_known = now;
+            return self.request_zone_correction();
         }
-        if now < self.joining.leader_seen + interval * 2 {
+        if now < self.joining.leader_last_known + interval * 2 {
             return;
         }
         let Some(address) = self.next_address() else {
             return;
         };
-        self.ask_to_join(address);
+        self.send_join_request(address);
     }
 
-    fn ask_to_join(&mut self, address: String) {
+    fn send_join_request(&mut self, address: String) {
         let request = JoinRequest {
             group: GROUP,
-            member: self.config.newcomer(self.replica),
+            member: self.config.joining_member(self.replica),
         };
         let frame = PeerFrame::JoinRequest(request);
         self.outputs.push(NodeOutput::Peer { address, frame });
     }
 
-    /// Tells the leader in which zone this replica stands where the membership has another: founders know
-    /// each other by their addresses only.
-    fn correct_zone(&mut self) {
+    /// Reports this replica's zone to the leader if the membership has another one: founders know each other
+    /// only by their addresses.
+    fn request_zone_correction(&mut self) {
         let zone = zone_name(&self.config.zone);
         let members = &self.consensus.membership().members;
         let own = members.iter().find(|member| member.replica == self.replica);
@@ -122,16 +123,16 @@
             return;
         }
         if self.leadership.is_some() {
-            let own = self.config.newcomer(self.replica);
-            self.note_newcomer(own);
+            let own = self.config.joining_member(self.replica);
+            self.add_pending_member(own);
         } else if let Some(leader) = self.leader_address() {
-            self.ask_to_join(leader.to_string());
+            self.send_join_request(leader.to_string());
         }
     }
 
     fn next_address(&mut self) -> Option<String> {
-        if let Some(hint) = self.joining.hint.take() {
-            return Some(hint.to_string());
+        if let Some(leader_hint) = self.joining.leader_hint.take() {
+            return Some(leader_hint.to_string());
         }
         let own = self.config.link_address.to_string();
         let mut known = self.replica_addresses();
@@ -144,33 +145,33 @@
         known.into_iter().nth(self.joining.next_seed % count.max(1))
     }
 
-    /// Where a leader may be whose address the membership here does not tell: a replica whose log is empty knows
-    /// it by its identity only.
-    pub(super) fn likely_leaders(&self) -> Vec<String> {
+    /// Addresses at which to try a leader whose address the local membership does not contain: a replica with
+    /// an empty log knows the leader only by its identity.
+    pub(super) fn possible_leader_addresses(&self) -> Vec<String> {
         let seeds = self.config.seeds.iter().map(ToString::to_string);
-        let told = self
+        let reported = self
             .joining
-            .told_leader
+            .reported_leader
             .iter()
             .map(|address| address.to_string());
-        let likely: BTreeSet<String> = seeds.chain(told).collect();
-        likely.into_iter().collect()
+        let possible: BTreeSet<String> = seeds.chain(reported).collect();
+        possible.into_iter().collect()
     }
 
-    /// Takes other seeds over from changed settings.
+    /// Replaces the seeds after the settings changed.
     pub fn set_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
         self.config.seeds = seeds;
     }
 
-    pub(super) fn take_in_join(&mut self, now: Duration, request: JoinRequest) {
+    pub(super) fn handle_join_request(&mut self, now: Duration, request: JoinRequest) {
         if request.group != GROUP {
             return;
         }
         let address = request.member.peer_address.to_string();
         let response = match &self.leadership {
             Some(_) => {
-                self.note_newcomer(request.member);
-                self.keep_members(now);
+                self.add_pending_member(request.member);
+                self.change_membership_if_due(now);
                 JoinResponse::Joining
             }
             None => match self.leader_address() {
@@ -182,11 +183,11 @@
         self.outputs.push(NodeOutput::Peer { address, frame });
     }
 
-    pub(super) fn take_in_join_response(&mut self, now: Duration, response: JoinResponse) {
+    pub(super) fn handle_join_response(&mut self, now: Duration, response: JoinResponse) {
         if let JoinResponse::TryLeader(leader) = response {
             if leader != socket_address(self.config.link_address) {
-                self.joining.hint = Some(leader.clone());
-                self.joining.told_leader = Some(leader);
+                self.joining.leader_hint = Some(leader.clone());
+                self.joining.reported_leader = Some(leader);
                 self.joining.next_at = self
                     .joining
                     .next_at
@@ -202,35 +203,36 @@
         Some(member.peer_address.clone())
     }
 
-    /// Keeps who wants to be taken in until its change can be made.
-    fn note_newcomer(&mut self, member: Member) {
+    /// Keeps a member that wants to join or to correct its zone until the membership change can be made.
+    fn add_pending_member(&mut self, member: Member) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.newcomers.insert(member.replica, member);
+            leadership.pending_members.insert(member.replica, member);
         }
     }
 
-    /// Makes one change of membership where one is due.
-    pub(super) fn keep_members(&mut self, now: Duration) {
-        self.forget_members_taken_in();
+    /// Proposes one membership change if one is due.
+    pub(super) fn change_membership_if_due(&mut self, now: Duration) {
+        self.prune_pending_members();
         let Some(next) = self.next_membership(now) else {
             return;
         };
         match self.consensus.propose_membership(now, next) {
-            // Busy is usual: changes are made one after the other, and this one at the next look.
+            // `MembershipBusy` is expected: changes are made one at a time, and this one is proposed again at
+            // the next check.
             Ok(_) | Err(ProposeError::MembershipBusy) => {}
-            Err(error) => self.notice(Notice::MembershipRefused { error }),
+            Err(error) => self.push_notice(Notice::MembershipRefused { error }),
         }
     }
 
-    /// Forgets newcomers that the membership lists as they told.
-    fn forget_members_taken_in(&mut self) {
+    /// Drops pending members that the membership lists with the zone they reported.
+    fn prune_pending_members(&mut self) {
         let members = &self.consensus.membership().members;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership.newcomers.retain(|replica, newcomer| {
+        leadership.pending_members.retain(|replica, pending| {
             let listed = members.iter().find(|member| member.replica == *replica);
-            listed.is_none_or(|listed| listed.zone != newcomer.zone)
+            listed.is_none_or(|listed| listed.zone != pending.zone)
         });
     }
 
@@ -239,35 +241,40 @@
             .or_else(|| self.without_surplus_voter(now))
             .or_else(|| self.with_corrected_zone())
             .or_else(|| self.with_another_voter(now))
-            .or_else(|| self.with_newcomer())
-            .or_else(|| self.without_forgotten_learner(now))
+            .or_else(|| self.with_pending_member())
+            .or_else(|| self.without_lost_learner(now))
     }
 
-    fn with_newcomer(&self) -> Option<Membership> {
+    fn with_pending_member(&self) -> Option<Membership> {
         let membership = self.consensus.membership();
-        let (_, newcomer) = self.leadership.as_ref()?.newcomers.first_key_value()?;
-        let next = members::admitting(membership, newcomer.clone());
+        let (_, pending) = self
+            .leadership
+            .as_ref()?
+            .pending_members
+            .first_key_value()?;
+        let next = members::admitting(membership, pending.clone());
         (next.members.len() <= MAXIMUM_MEMBERS).then_some(next)
     }
 
-    fn without_forgotten_learner(&self, now: Duration) -> Option<Membership> {
+    fn without_lost_learner(&self, now: Duration) -> Option<Membership> {
         let membership = self.consensus.membership();
         let is_learner = |replica: &ReplicaId| {
             !members::voters(membership).any(|voter| voter.replica == *replica)
         };
-        let forgotten = self
-            .silence(now)
+        let lost = self
+            .time_since_contact(now)
             .into_iter()
-            .find(|(replica, silence)| is_learner(replica) && *silence > LEARNER_FORGOTTEN_AFTER);
-        forgotten.map(|(replica, _)| members::without(membership, replica))
+            .find(|(replica, elapsed)| is_learner(replica) && *elapsed > LEARNER_REMOVAL_DELAY);
+        lost.map(|(replica, _)| members::without(membership, replica))
     }
 
-    /// For how long each other member has been silent, counted from the start of this leader's time.
-    pub(super) fn silence(&self, now: Duration) -> Vec<(ReplicaId, Duration)> {
+    /// Time since each other member was last in contact; a member that has not been in contact yet is counted
+    /// from the start of this leadership.
+    pub(super) fn time_since_contact(&self, now: Duration) -> Vec<(ReplicaId, Duration)> {
         let since = self.consensus.leader_since().unwrap_or(now);
         let progress = self.consensus.member_progress().into_iter();
         progress
-            .map(|(replica, _, heard)| (replica, now.saturating_sub(heard.unwrap_or(since))))
+            .map(|(replica, _, contact)| (replica, now.saturating_sub(contact.unwrap_or(since))))
             .collect()
     }
 }
--- a/crates/directory/src/node/messages.rs
+++ b/crates/directory/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into a node and what comes out.
+//! Inputs and outputs of a node.
 
 use grebepin_catalog::Effects;
 use grebepin_consensus::ProposeError;
@@ -8,32 +8,32 @@
 use crate::call::{Call, Reply};
 use crate::crashes::CrashReport;
 
-/// Names a call until it is answered.
+/// Identifies a call until it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// One thing that happened.
+/// An event for the node to process.
 #[derive(Clone, Debug)]
 pub enum NodeInput {
-    /// A frame of another replica.
+    /// A frame from another replica.
     Peer(PeerFrame),
-    /// What a gateway saw of load.
+    /// Load measured by gateways.
     Load(LoadSample),
-    /// Crashes that gateways told of.
+    /// Crashes reported by gateways.
     Crashes(Vec<CrashReport>),
-    /// A call, of a client here or relayed by another replica.
+    /// A call from a local client or relayed by another replica.
     Call {
-        /// Names the call.
+        /// Identifies the call.
         id: CallId,
         /// The call.
         call: Call,
     },
 }
 
-/// One thing to do.
+/// An action for the caller to perform.
 #[derive(Clone, Debug)]
 pub enum NodeOutput {
-    /// Send a frame to a replica; it may be lost.
+    /// Send a frame to a replica. Delivery is not guaranteed.
     Peer {
         /// Internal address of the replica.
         address: String,
@@ -42,69 +42,70 @@
     },
     /// Answer a call.
     Reply {
-        /// Names the call.
+        /// Identifies the call.
         id: CallId,
         /// The outcome.
         reply: Reply,
     },
-    /// Let the leader answer a call.
+    /// Relay a call to the leader.
     Relay {
-        /// Names the call.
+        /// Identifies the call.
         id: CallId,
         /// Internal address of the leader.
         address: String,
-        /// Address at which the leader takes calls itself.
+        /// Address at which the leader accepts calls from clients.
         endpoint: String,
         /// The call.
         call: Call,
     },
-    /// Entries were applied; the gateways that follow want them.
+    /// Entries were applied and must be sent to the gateways that follow.
     Applied,
-    /// The whole state was replaced; the gateways that follow must get it anew.
+    /// The complete state was replaced and must be sent to the gateways that follow.
     StateReplaced,
-    /// This replica began or ceased to lead.
+    /// This replica gained or lost leadership.
     LeadershipChanged,
-    /// Something worth a log line.
+    /// Write a log line.
     Notice(Notice),
 }
 
-/// Something worth a log line.
+/// An event worth a log line.
 #[derive(Clone, Debug)]
 pub enum Notice {
-    /// The group was founded here.
+    /// This replica founded the group.
     Founded,
-    /// This replica leads in a term.
+    /// This replica became the leader.
     Leads {
         /// The term.
         term: u64,
     },
-    /// This replica leads no more.
+    /// This replica is no longer the leader.
     Follows {
-        /// The present term.
+        /// The current term.
         term: u64,
     },
-    /// A membership is committed.
+    /// A membership was committed.
     Membership {
         /// Log index.
         index: u64,
         /// Internal addresses of the voters.
         voters: Vec<String>,
-        /// Number of learners.
+        /// Number of other members.
         learners: usize,
     },
-    /// A change of membership breaks a rule of consensus; the same one comes up again while it seems due.
+    /// Consensus rejected a membership change. The same change is proposed again for as long as it appears
+    /// due.
     MembershipRefused {
-        /// The rule.
+        /// Why it was rejected.
         error: ProposeError,
     },
-    /// The group fell short of the voters that it should have, or has them again.
+    /// The group now has fewer voters than wanted, or has enough again.
     Voters {
-        /// Voters of the membership.
+        /// Number of voters in the membership.
         voters: usize,
-        /// Voters that the losses to be borne need.
+        /// Number of voters required for the tolerated losses.
         wanted: usize,
     },
-    /// The state was restored from the log, up to an index.
+    /// The state was restored from the log up to an index.
     Replayed {
         /// Log index.
         index: u64,
@@ -113,14 +114,15 @@
     Effects {
         /// Log index.
         index: u64,
-        /// What changed.
+        /// The changes.
         effects: Effects,
-        /// Whether this replica leads: one line for a server and a move of shards in the whole group is enough.
+        /// Whether this replica leads. Changes to servers and moves of shards are logged only by the leader,
+        /// so that each produces one line in the whole group.
         is_leader: bool,
     },
-    /// An unfinished write was cut off the log at the start.
+    /// An incomplete write was cut off the end of the log at startup.
     TornTailCut {
-        /// Bytes cut.
+        /// Number of bytes removed.
         bytes: u64,
     },
 }
--- a/crates/directory/src/node/mod.rs
+++ b/crates/directory/src/node/mod.rs
@@ -1,18 +1,18 @@
-//! The replica's decisions: consensus, storage, catalog and leases as one value without clock,
-//! sockets or threads.
+//! Decision logic of a replica: consensus, storage, catalog and leases as one value without a clock, sockets
+//! or threads.
 //!
-//! Invariants: an output leaves only after all it rests on is synced; a grant, a read or an
-//! acknowledged heartbeat leaves only inside the leader's own lease, judged by the clock after the sync;
-//! a call whose outcome is not known gets no clear answer, never a refusal.
+//! Invariants: an output is returned only after everything it depends on is synced; a grant, a read or an
+//! acknowledged heartbeat is returned only within the leader's own lease, checked against the clock after the
+//! sync; a call whose outcome is unknown is answered as unavailable, never as refused.
 
 mod config;
 mod founding;
 mod leading;
 mod membership;
 mod messages;
+mod pending_calls;
 mod replication;
 mod voters;
-mod waiting;
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -27,16 +27,16 @@
 use leading::Leadership;
 use membership::Joining;
 pub use messages::{CallId, NodeInput, NodeOutput, Notice};
-use waiting::Waiting;
+use pending_calls::PendingCalls;
 
-/// Why a replica can't go on.
+/// Why a replica cannot continue.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The disk refused or the folder is damaged.
+    /// A disk operation failed or the data folder is damaged.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// A committed entry or a snapshot does not decode.
-    #[error("the log holds what does not decode: {0}")]
+    /// A committed entry or a snapshot cannot be decoded.
+    #[error("a log entry or snapshot cannot be decoded: {0}")]
     Decode(#[from] grebepin_reactor::FrameError),
 }
 
@@ -48,31 +48,31 @@
     consensus: Consensus,
     catalog: Catalog,
     applied: LogIndex,
-    /// Entries up to this index were known to be committed at the start: they are no news.
+    /// Highest index known to be committed at startup. Entries up to it are replayed without log lines.
     replay_until: LogIndex,
-    /// The last applied entries, for gateways that missed a few.
-    recent: VecDeque<(u64, Entry)>,
+    /// The most recently applied entries, for gateways that are a few entries behind.
+    recent_entries: VecDeque<(u64, Entry)>,
     log_writer: LogWriter,
     leadership: Option<Leadership>,
-    waiting: Waiting,
+    pending_calls: PendingCalls,
     joining: Joining,
-    /// When a leader last spoke to this replica while everything that it had committed was applied here.
-    caught_up: Option<Duration>,
+    /// When a leader was last in contact while everything that it had committed was applied here.
+    caught_up_at: Option<Duration>,
     outputs: Vec<NodeOutput>,
 }
 
-/// Time after the last word of a leader for which what a replica holds counts as fresh: two of a leader's
-/// rounds of 60 ms that get lost, an election of 250 ms, and a margin. A gateway has 2 s to learn of a change
-/// by another way.
-const FRESH_FOR: Duration = Duration::from_millis(600);
+/// How long a replica's state counts as fresh after the last contact with a leader: two lost leader
+/// heartbeats of 60 ms each, an election of 250 ms, and a margin. A gateway has 2 s to learn of a change from
+/// another source.
+const FRESHNESS_LIMIT: Duration = Duration::from_millis(600);
 
 impl<D: Disk> Node<D> {
-    /// The replicated state as far as it is applied here.
+    /// The replicated state as applied on this replica.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Log index that is applied here.
+    /// Highest log index that is applied.
     pub fn applied(&self) -> u64 {
         self.applied.0
     }
@@ -82,33 +82,34 @@
         &self.consensus
     }
 
-    /// Gives the disk back, to be opened anew.
+    /// Returns the disk so that a node can be reopened on it.
     pub fn into_disk(self) -> D {
         self.storage.into_disk()
     }
 
-    /// Entries after a log index, or `None` when they are no longer at hand and the whole state
-    /// must be sent.
+    /// Applied entries after a log index. `None` if they are no longer kept, so that the complete state must
+    /// be sent.
     pub fn entries_after(&self, index: u64) -> Option<Vec<(u64, Entry)>> {
         if index >= self.applied.0 {
             return Some(Vec::new());
         }
-        let first = self.recent.front()?.0;
+        let first = self.recent_entries.front()?.0;
         if first > index + 1 {
             return None;
         }
-        let news = self.recent.iter().filter(|(at, _)| *at > index);
+        let missed = self.recent_entries.iter().filter(|(at, _)| *at > index);
         Some(
-            news.map(|(at, entry)| (*at, entry.without_documents()))
+            missed
+                .map(|(at, entry)| (*at, entry.without_documents()))
                 .collect(),
         )
     }
 
-    /// Handles a batch of inputs and says what to do. `clock` tells the present time; it is asked
-    /// again after each sync, which may take long.
+    /// Processes a batch of inputs and returns the actions to perform. `clock` returns the current time; it
+    /// is read again after each sync, which may take long.
     ///
     /// # Errors
-    /// The replica can't go on and must be opened anew.
+    /// The replica cannot continue and must be reopened.
     pub fn handle(
         &mut self,
         clock: &mut dyn FnMut() -> Duration,
@@ -116,31 +117,34 @@
     ) -> Result<Vec<NodeOutput>, NodeError> {
         let now = clock();
         for input in inputs {
-            self.take_in(now, input);
+            self.handle_input(now, input);
         }
-        // Only now: what came in while this process was held up may show that a majority answers.
+        // Ticks after the inputs: messages received while this process was suspended may show that a majority
+        // responds.
         self.consensus.tick(now);
         self.advance(clock)?;
-        self.note_caught_up();
+        self.update_caught_up_at();
         Ok(std::mem::take(&mut self.outputs))
     }
 
-    fn note_caught_up(&mut self) {
+    fn update_caught_up_at(&mut self) {
         if let Some((at, committed)) = self.consensus.leader_contact() {
             if self.applied >= committed {
-                self.caught_up = Some(at);
+                self.caught_up_at = Some(at);
             }
         }
     }
 
-    /// Whether what is applied here is fresh enough to feed gateways with.
+    /// Whether the applied state is fresh enough to be sent to gateways.
     pub fn is_fed(&self, now: Duration) -> bool {
         let is_member = !self.consensus.membership().members.is_empty();
-        let caught_up = self.caught_up.is_some_and(|at| now < at + FRESH_FOR);
-        self.leads_surely(now) || (is_member && caught_up)
+        let caught_up = self
+            .caught_up_at
+            .is_some_and(|at| now < at + FRESHNESS_LIMIT);
+        self.holds_leader_lease(now) || (is_member && caught_up)
     }
 
-    /// When [`Node::handle`] must be called next, at the latest.
+    /// The latest time at which [`Node::handle`] must be called again.
     pub fn next_wake(&self) -> Duration {
         let mut wake = self.consensus.next_wake();
         if let Some(leadership) = &self.leadership {
@@ -149,14 +153,16 @@
         wake.min(self.joining.next_at)
     }
 
-    fn take_in(&mut self, now: Duration, input: NodeInput) {
+    fn handle_input(&mut self, now: Duration, input: NodeInput) {
         match input {
-            NodeInput::Peer(frame) => self.take_in_peer(now, frame),
-            NodeInput::Call { id, call } => self.take_in_call(now, id, call),
+            NodeInput::Peer(frame) => self.handle_peer_frame(now, frame),
+            NodeInput::Call { id, call } => self.handle_call(now, id, call),
             NodeInput::Crashes(reports) => {
                 if let Some(leadership) = &mut self.leadership {
-                    let book = &mut leadership.crashes;
-                    reports.iter().for_each(|report| book.note(now, report));
+                    let tracker = &mut leadership.crashes;
+                    reports
+                        .iter()
+                        .for_each(|report| tracker.record(now, report));
                 }
             }
             NodeInput::Load(sample) => {
@@ -167,7 +173,7 @@
         }
     }
 
-    fn notice(&mut self, notice: Notice) {
+    fn push_notice(&mut self, notice: Notice) {
         self.outputs.push(NodeOutput::Notice(notice));
     }
 }
--- a/crates/directory/src/node/waiting.rs
+++ b/crates/directory/src/node/pending_calls.rs
@@ -8,42 +8,44 @@
 
 use super::messages::CallId;
 
-/// A call that waits for its entry.
+/// A call that waits for an entry to be applied.
 #[derive(Clone, Debug)]
 pub(super) enum EntryWaiter {
-    /// A heartbeat; its grant is worked out afterwards.
-    Beat(CallId, Box<Beat>),
-    /// A server's leave.
+    /// A heartbeat; its grant is computed after the entry is applied.
+    Heartbeat(CallId, Box<Beat>),
+    /// A server's announcement of its shutdown.
     Leave(CallId),
-    /// A change of items.
+    /// A change of configuration items.
     Change(CallId),
-    /// The beginning or end of an evacuation.
+    /// Start or end of an evacuation.
     Evacuation(CallId),
 }
 
 impl EntryWaiter {
     pub(super) fn call(&self) -> CallId {
         match self {
-            Self::Beat(id, _) | Self::Leave(id) | Self::Change(id) | Self::Evacuation(id) => *id,
+            Self::Heartbeat(id, _) | Self::Leave(id) | Self::Change(id) | Self::Evacuation(id) => {
+                *id
+            }
         }
     }
 }
 
 /// All calls that wait.
 #[derive(Debug, Default)]
-pub(super) struct Waiting {
+pub(super) struct PendingCalls {
     entries: BTreeMap<LogIndex, (Term, EntryWaiter)>,
     reads: BTreeMap<ReadId, CallId>,
     confirmed: Vec<(LogIndex, CallId)>,
 }
 
-impl Waiting {
+impl PendingCalls {
     pub(super) fn add_entry(&mut self, term: Term, index: LogIndex, waiter: EntryWaiter) {
         self.entries.insert(index, (term, waiter));
     }
 
-    /// Takes the waiter of an entry; one that waited for another leader's entry there is given
-    /// back as `Err`.
+    /// Removes and returns the call that waits for the entry at `index`. Returns it as `Err` if the entry
+    /// there is from another term than the one that the call waits for.
     pub(super) fn take_entry(
         &mut self,
         term: Term,
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Reads whose index is applied.
+    /// Removes and returns the confirmed reads whose index is applied.
     pub(super) fn take_confirmed(&mut self, applied: LogIndex) -> Vec<CallId> {
         let (due, rest) = std::mem::take(&mut self.confirmed)
             .into_iter()
@@ -77,7 +79,7 @@
             .collect()
     }
 
-    /// Everyone who waits for this leader; nobody does afterwards.
+    /// Removes and returns all calls that wait.
     pub(super) fn take_all(&mut self) -> Vec<CallId> {
         let entries = std::mem::take(&mut self.entries);
         let reads = std::mem::take(&mut self.reads);
--- a/crates/directory/src/node/replication.rs
+++ b/crates/directory/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! Makes durable what consensus asks for, sends its messages and applies what is committed.
+//! Persists what consensus requires, sends its messages and applies committed entries.
 
 use std::time::Duration;
 
@@ -13,46 +13,46 @@
 use super::config::GROUP;
 use super::founding::{decode_catalog, encode_catalog};
 use super::messages::{NodeOutput, Notice};
-use super::waiting::EntryWaiter;
+use super::pending_calls::EntryWaiter;
 use super::{Node, NodeError};
 use crate::call::{Reply, UnavailableReason};
 
-/// Rounds of work in one call, so that a node that makes its own work still returns.
-const MAXIMUM_ROUNDS: usize = 8;
+/// Maximum number of rounds in one call, so that a node that keeps generating work for itself still returns.
+const MAX_ADVANCE_ROUNDS: usize = 8;
 
-/// Applied entries that are kept for gateways that missed a few.
+/// Number of applied entries that are kept for gateways that are a few entries behind.
 const RECENT_ENTRIES: usize = 4_096;
 
 impl<D: Disk> Node<D> {
-    pub(super) fn take_in_peer(&mut self, now: Duration, frame: PeerFrame) {
+    pub(super) fn handle_peer_frame(&mut self, now: Duration, frame: PeerFrame) {
         match frame {
             PeerFrame::Message(message) => {
                 if message.to == self.replica && message.group == GROUP {
                     self.consensus.step(now, message);
                 }
             }
-            PeerFrame::JoinRequest(request) => self.take_in_join(now, request),
-            PeerFrame::JoinResponse(response) => self.take_in_join_response(now, response),
+            PeerFrame::JoinRequest(request) => self.handle_join_request(now, request),
+            PeerFrame::JoinResponse(response) => self.handle_join_response(now, response),
         }
     }
 
-    /// Works until nothing is left to do now.
+    /// Processes the output of consensus until there is none left or the maximum number of rounds is reached.
     pub(super) fn advance(&mut self, clock: &mut dyn FnMut() -> Duration) -> Result<(), NodeError> {
-        for _ in 0..MAXIMUM_ROUNDS {
+        for _ in 0..MAX_ADVANCE_ROUNDS {
             let now = clock();
-            self.follow_leadership(now);
+            self.update_leadership(now);
             let ready = self.consensus.ready();
             if ready.is_empty() {
                 break;
             }
-            self.work_off(clock, ready)?;
+            self.process_ready(clock, ready)?;
         }
         let now = clock();
-        self.keep_joining(now);
+        self.join_if_due(now);
         self.save_snapshot_when_due()
     }
 
-    fn work_off(
+    fn process_ready(
         &mut self,
         clock: &mut dyn FnMut() -> Duration,
         ready: Ready,
@@ -64,17 +64,17 @@
             self.send(message);
         }
         if let Some((meta, data)) = ready.snapshot {
-            self.take_over_snapshot(&meta, &data)?;
+            self.install_snapshot(&meta, &data)?;
         }
-        let news = !ready.committed.is_empty();
+        let any_committed = !ready.committed.is_empty();
         for entry in ready.committed {
             self.apply(now, entry)?;
         }
-        if news {
+        if any_committed {
             self.outputs.push(NodeOutput::Applied);
         }
         for (read, index) in ready.reads {
-            self.waiting.confirm_read(read, index);
+            self.pending_calls.confirm_read(read, index);
         }
         self.answer_reads();
         if ready.lost_leadership {
@@ -88,7 +88,7 @@
         let known = members.iter().find(|member| member.replica == message.to);
         let addresses: Vec<String> = match known {
             Some(member) => vec![member.peer_address.to_string()],
-            None => self.likely_leaders(),
+            None => self.possible_leader_addresses(),
         };
         for address in addresses {
             let frame = PeerFrame::Message(message.clone());
@@ -96,10 +96,10 @@
         }
     }
 
-    fn take_over_snapshot(&mut self, meta: &SnapshotMeta, data: &[u8]) -> Result<(), NodeError> {
+    fn install_snapshot(&mut self, meta: &SnapshotMeta, data: &[u8]) -> Result<(), NodeError> {
         self.catalog = decode_catalog(data)?;
         self.applied = meta.index;
-        self.recent.clear();
+        self.recent_entries.clear();
         self.outputs.push(NodeOutput::StateReplaced);
         Ok(())
     }
@@ -111,15 +111,15 @@
         match entry.payload {
             EntryPayload::Noop => {}
             EntryPayload::Membership(membership) => {
-                self.note_membership(entry.index, &membership);
-                self.keep_members(now);
+                self.push_membership_notice(entry.index, &membership);
+                self.change_membership_if_due(now);
             }
             EntryPayload::Command(bytes) => {
                 applied = decode_frame(&bytes.0)?;
                 refused = self.apply_commands(entry.index, &applied);
             }
         }
-        match self.waiting.take_entry(entry.term, entry.index) {
+        match self.pending_calls.take_entry(entry.term, entry.index) {
             None => {}
             Some(Ok(waiter)) => self.answer_applied(now, waiter, refused),
             Some(Err(waiter)) => {
@@ -127,24 +127,24 @@
                 self.reply(waiter.call(), Reply::Unavailable(reason));
             }
         }
-        self.remember(entry.index.0, applied);
+        self.keep_recent(entry.index.0, applied);
         if self.applied == self.replay_until {
-            self.notice(Notice::Replayed {
+            self.push_notice(Notice::Replayed {
                 index: self.applied.0,
             });
         }
         Ok(())
     }
 
-    /// Notes what an entry changed. Entries that were committed before the start are no news: a line
-    /// for each would cost a restarted replica more time than applying them.
-    fn notice_news(&mut self, index: LogIndex, notice: Notice) {
+    /// Emits a notice about an entry unless the entry was already committed at startup: a log line for each
+    /// of those would take a restarted replica longer than applying them.
+    fn push_notice_unless_replayed(&mut self, index: LogIndex, notice: Notice) {
         if index > self.replay_until {
-            self.notice(notice);
+            self.push_notice(notice);
         }
     }
 
-    /// Applies the commands of an entry; why a change of items among them was refused.
+    /// Applies the commands of an entry. Returns why a change of items among them was refused.
     fn apply_commands(&mut self, index: LogIndex, entry: &CatalogEntry) -> Option<String> {
         let mut refused = None;
         for command in &entry.commands {
@@ -157,21 +157,23 @@
                 effects,
                 is_leader: self.leadership.is_some(),
             };
-            self.notice_news(index, notice);
+            self.push_notice_unless_replayed(index, notice);
         }
         refused
     }
 
-    fn remember(&mut self, index: u64, entry: CatalogEntry) {
-        self.recent.push_back((index, entry));
-        if self.recent.len() > RECENT_ENTRIES {
-            self.recent.pop_front();
+    fn keep_recent(&mut self, index: u64, entry: CatalogEntry) {
+        self.recent_entries.push_back((index, entry));
+        if self.recent_entries.len() > RECENT_ENTRIES {
+            self.recent_entries.pop_front();
         }
     }
 
     fn answer_applied(&mut self, now: Duration, waiter: EntryWaiter, refused: Option<String>) {
         match (waiter, refused) {
-            (EntryWaiter::Beat(id, beat), _) => self.answer_beat(now, id, &beat),
+            (EntryWaiter::Heartbeat(id, heartbeat), _) => {
+                self.answer_heartbeat(now, id, &heartbeat)
+            }
             (EntryWaiter::Leave(id), _) => self.reply(id, Reply::Left),
             (EntryWaiter::Evacuation(id), _) => self.reply(id, Reply::EvacuationSet),
             (EntryWaiter::Change(id), None) => self.reply(id, Reply::Changed),
@@ -179,7 +181,7 @@
         }
     }
 
-    fn note_membership(&mut self, index: LogIndex, membership: &Membership) {
+    fn push_membership_notice(&mut self, index: LogIndex, membership: &Membership) {
         let (voters, learners): (Vec<_>, Vec<_>) = membership
             .members
             .iter()
@@ -190,7 +192,7 @@
             voters: addresses.collect(),
             learners: learners.len(),
         };
-        self.notice_news(index, notice);
+        self.push_notice_unless_replayed(index, notice);
     }
 
     fn save_snapshot_when_due(&mut self) -> Result<(), NodeError> {
@@ -207,10 +209,10 @@
         Ok(())
     }
 
-    /// Whole state for a gateway, with its log index; operators' own texts are left out.
+    /// Complete state for a gateway, with its log index, without the operators' documents.
     ///
     /// # Errors
-    /// The state can't be encoded.
+    /// The state cannot be encoded.
     pub fn whole_state(&self) -> Result<(u64, Vec<u8>), NodeError> {
         Ok((
             self.applied.0,
--- a/crates/directory/src/node/voters.rs
+++ b/crates/directory/src/node/voters.rs
@@ -1,7 +1,7 @@
-//! How many replicas vote, in which zones, and when one of them goes.
+//! Number of voters, their distribution over zones, and their replacement.
 //!
-//! Invariant: a voter leaves only while the others that are heard from are a majority of those that stay; where
-//! voters only move between zones, the new one comes before the old one goes.
+//! Invariant: a voter is removed only while the other responsive voters form a majority of the remaining
+//! ones. When voters are only moved between zones, the new one is added before the old one is removed.
 
 use std::time::Duration;
 
@@ -13,50 +13,53 @@
 use super::messages::Notice;
 use super::Node;
 
-/// Time after its beginning for which a leader turns the very first configuration away while the group is
-/// short of voters. A group that finds no further machines serves on after that.
-const FOUNDING_PATIENCE: Duration = Duration::from_secs(3);
+/// Time after the start of a leadership in which the leader answers changes as unavailable while the group
+/// has no configuration yet and fewer voters than wanted. A group that finds no further machines accepts them
+/// afterwards.
+const FOUNDING_VOTER_WAIT: Duration = Duration::from_secs(3);
 
 impl<D: Disk> Node<D> {
-    /// Without a voter that lost its folder or is silent, once a learner can take its place.
+    /// Membership without a voter that lost its data folder or is unresponsive, once a learner can replace
+    /// it.
     pub(super) fn without_lost_voter(&self, now: Duration) -> Option<Membership> {
         let membership = self.consensus.membership();
         let mut learners = members::caught_up_learners(&self.consensus).peekable();
         learners.peek()?;
-        // A voter at the address of a newer replica has lost its folder.
+        // A voter with the same address as a newer replica has lost its data folder.
         let replaced =
             learners.find_map(|learner| members::voter_at(membership, &learner.peer_address));
-        let replaced = replaced.or_else(|| self.silent_voter(now))?;
+        let replaced = replaced.or_else(|| self.unresponsive_voter(now))?;
         let allowed = self.keeps_quorum_without(now, replaced);
         allowed.then(|| members::without(membership, replaced))
     }
 
-    /// Without a voter that is one too many.
+    /// Membership without one voter beyond the wanted number.
     pub(super) fn without_surplus_voter(&self, now: Duration) -> Option<Membership> {
         let membership = self.consensus.membership();
         if self.voter_count() <= self.wanted_voters() {
             return None;
         }
-        let silent = self.silent_voter(now);
-        let surplus = silent.or_else(|| members::surplus_voter(membership, self.replica))?;
+        let unresponsive = self.unresponsive_voter(now);
+        let surplus = unresponsive.or_else(|| members::surplus_voter(membership, self.replica))?;
         let allowed = self.keeps_quorum_without(now, surplus);
         allowed.then(|| members::without(membership, surplus))
     }
 
     pub(super) fn with_corrected_zone(&self) -> Option<Membership> {
         let membership = self.consensus.membership();
-        let newcomers = &self.leadership.as_ref()?.newcomers;
+        let pending_members = &self.leadership.as_ref()?.pending_members;
         let mut listed = membership.members.iter();
-        let newcomer = listed.find_map(|member| newcomers.get(&member.replica))?;
+        let pending = listed.find_map(|member| pending_members.get(&member.replica))?;
         Some(members::with_zone(
             membership,
-            newcomer.replica,
-            &newcomer.zone,
+            pending.replica,
+            &pending.zone,
         ))
     }
 
-    /// With one more voter, where the group has too few, or where they stand too close together: the new one
-    /// comes first and then one goes, so that at no time fewer losses are borne.
+    /// Membership with one more voter if there are too few, or if another one would improve the spread over
+    /// zones. The new voter is added before one is removed, so that the number of tolerated losses never
+    /// drops in between.
     pub(super) fn with_another_voter(&self, now: Duration) -> Option<Membership> {
         let membership = self.consensus.membership();
         let learners = members::caught_up_learners(&self.consensus);
@@ -64,7 +67,7 @@
         let wanted = self.wanted_voters();
         let is_short = self.voter_count() < wanted;
         let spreads = || self.are_zones_known() && members::would_spread(membership, learner);
-        let may_spread = self.voter_count() == wanted && self.silent_voter(now).is_none();
+        let may_spread = self.voter_count() == wanted && self.unresponsive_voter(now).is_none();
         let is_wanted = is_short || (may_spread && spreads());
         is_wanted.then(|| members::promoting(membership, learner.replica))
     }
@@ -74,17 +77,17 @@
         members::voters(self.consensus.membership()).all(|voter| voter.zone != unknown)
     }
 
-    /// Voters that the membership lists.
+    /// Number of voters in the membership.
     pub fn voter_count(&self) -> usize {
         members::voters(self.consensus.membership()).count()
     }
 
-    /// Voters that the group should have for the losses that it must bear.
+    /// Number of voters required for the tolerated losses.
     pub fn wanted_voters(&self) -> usize {
         self.config.fault_tolerance.wanted_voters()
     }
 
-    /// Takes other losses to be borne over from changed settings.
+    /// Replaces the tolerated losses after the settings changed.
     pub fn set_fault_tolerance(&mut self, fault_tolerance: FaultTolerance) {
         self.config.fault_tolerance = fault_tolerance;
     }
@@ -97,11 +100,11 @@
         let is_founding = self.catalog.items().in_force().next().is_none();
         is_founding
             && self.voter_count() < self.wanted_voters()
-            && now < leadership.began + FOUNDING_PATIENCE
+            && now < leadership.started_at + FOUNDING_VOTER_WAIT
     }
 
-    /// Notes when the group has fewer voters than it should, and when it has enough again.
-    pub(super) fn watch_voters(&mut self) {
+    /// Emits a notice when the number of voters falls below the wanted one and when it is sufficient again.
+    pub(super) fn report_voter_count(&mut self) {
         let (voters, wanted) = (self.voter_count(), self.wanted_voters());
         let is_short = voters < wanted;
         let Some(leadership) = &mut self.leadership else {
@@ -109,28 +112,31 @@
         };
         if leadership.is_short_of_voters != is_short {
             leadership.is_short_of_voters = is_short;
-            self.notice(Notice::Voters { voters, wanted });
+            self.push_notice(Notice::Voters { voters, wanted });
         }
     }
 
-    fn silent_voter(&self, now: Duration) -> Option<ReplicaId> {
+    fn unresponsive_voter(&self, now: Duration) -> Option<ReplicaId> {
         let limit = self.config.timing.replace_after;
-        let silent = self.silence(now).into_iter().find(|(replica, silence)| {
-            let mut voters = members::voters(self.consensus.membership());
-            *silence > limit && voters.any(|voter| voter.replica == *replica)
-        });
-        silent.map(|(replica, _)| replica)
+        let unresponsive = self
+            .time_since_contact(now)
+            .into_iter()
+            .find(|(replica, elapsed)| {
+                let mut voters = members::voters(self.consensus.membership());
+                *elapsed > limit && voters.any(|voter| voter.replica == *replica)
+            });
+        unresponsive.map(|(replica, _)| replica)
     }
 
     fn keeps_quorum_without(&self, now: Duration, removed: ReplicaId) -> bool {
         let limit = self.config.timing.election_timeout;
-        let silence = self.silence(now);
-        let is_heard = |replica: ReplicaId| {
+        let time_since_contact = self.time_since_contact(now);
+        let is_responsive = |replica: ReplicaId| {
             replica == self.replica
-                || silence
+                || time_since_contact
                     .iter()
-                    .any(|(one, silence)| *one == replica && *silence < limit)
+                    .any(|(one, elapsed)| *one == replica && *elapsed < limit)
         };
-        members::keeps_quorum_without(self.consensus.membership(), removed, is_heard)
+        members::keeps_quorum_without(self.consensus.membership(), removed, is_responsive)
     }
 }
--- a/crates/directory/src/pacing.rs
+++ b/crates/directory/src/pacing.rs
@@ -1,81 +1,82 @@
-//! How much may be sent over a shared link and how often, so that bulk never holds up what is urgent.
+//! Limits the bandwidth and frequency of bulk transfers on a shared link, so that they never delay urgent
+//! messages.
 
 use std::time::Duration;
 
-/// Bytes a second of a link of one megabit a second.
+/// Bytes per second of a link with a capacity of one megabit per second.
 pub const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
-/// Time whose allowance may be saved up.
+/// Period whose allowance may accumulate while nothing is sent.
 const BURST: Duration = Duration::from_millis(100);
 
-/// An allowance of bytes that grows with time. It may be overdrawn by one message.
+/// Token bucket that counts bytes. One message may overdraw it.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacer {
     bytes_per_second: f64,
     allowance: f64,
-    refilled: Duration,
+    refilled_at: Duration,
 }
 
 impl Pacer {
-    /// Nothing is allowed before time has passed.
+    /// Starts with an empty bucket.
     pub fn new(bytes_per_second: f64) -> Self {
         Self {
             bytes_per_second,
             allowance: 0.0,
-            refilled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 
     /// Whether a message may be sent now.
     pub fn allows(&mut self, now: Duration) -> bool {
-        let elapsed = now.saturating_sub(self.refilled).as_secs_f64();
-        let most = self.bytes_per_second * BURST.as_secs_f64();
-        self.refilled = self.refilled.max(now);
-        self.allowance = (self.allowance + elapsed * self.bytes_per_second).min(most);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        let max_allowance = self.bytes_per_second * BURST.as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.allowance = (self.allowance + elapsed * self.bytes_per_second).min(max_allowance);
         self.allowance > 0.0
     }
 
-    /// Counts a message that was sent.
+    /// Deducts the bytes of a message that was sent.
     pub fn spend(&mut self, bytes: usize) {
         self.allowance -= bytes as f64;
     }
 }
 
-/// Pause between two whole rounds, for each gateway that follows: each round is a write to every one.
+/// Pause after a complete round, per following gateway: each round writes to every one of them.
 const PAUSE_PER_GATEWAY: Duration = Duration::from_micros(1_500);
 
-/// Pause before a round that the allowance cut short goes on: a hundredth of a second of the allowance fills by then.
-/// A whole round's pause would waste what the link may carry from 66 gateways on, since an allowance saves up a tenth
-/// of a second only.
+/// Pause before a round continues that ran out of allowance; the allowance of 10 ms accumulates in the
+/// meantime. The pause of a complete round would leave part of the link unused with 66 gateways or more,
+/// since at most a tenth of a second of allowance accumulates.
 const RESUME_PAUSE: Duration = Duration::from_millis(10);
 
-/// How a round of feeding ended.
+/// How a round of sending updates to gateways ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoundEnd {
-    /// Every gateway has what it lacked.
-    Whole,
-    /// The allowance was spent before.
-    CutShort,
+    /// Every gateway was sent what it lacked.
+    Complete,
+    /// The allowance ran out first.
+    AllowanceExhausted,
 }
 
-/// When gateways are fed.
+/// Schedules the rounds in which gateways are sent updates.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rounds {
-    next: Duration,
+pub struct RoundSchedule {
+    next_at: Duration,
 }
 
-impl Rounds {
-    /// Whether a round may begin, or go on.
+impl RoundSchedule {
+    /// Whether a round may start or continue.
     pub fn is_due(&self, now: Duration) -> bool {
-        now >= self.next
+        now >= self.next_at
     }
 
-    /// Notes how a round ended, of so many gateways.
-    pub fn ended(&mut self, now: Duration, gateways: usize, end: RoundEnd) {
+    /// Records how a round over this number of gateways ended and schedules the next one.
+    pub fn record_end(&mut self, now: Duration, gateways: usize, end: RoundEnd) {
         let pause = match end {
-            RoundEnd::Whole => PAUSE_PER_GATEWAY * gateways as u32,
-            RoundEnd::CutShort => RESUME_PAUSE,
+            RoundEnd::Complete => PAUSE_PER_GATEWAY * gateways as u32,
+            RoundEnd::AllowanceExhausted => RESUME_PAUSE,
         };
-        self.next = now + pause;
+        self.next_at = now + pause;
     }
 }
