--- a/crates/directory/src/settings.rs
+++ b/crates/directory/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a directory replica: a TOML file, checked whole at the start and at each reload.
+//! Settings of a directory replica: a TOML file, validated as a whole at startup and on each reload.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -8,58 +8,59 @@
 
 use crate::node::FaultTolerance;
 
-/// Longest lease that any deployment allows.
-const DEFAULT_LEASE_LIMIT: f64 = 10.0;
+/// Maximum lease duration in seconds, unless the settings set another.
+const DEFAULT_MAX_LEASE_S: f64 = 10.0;
 
-/// By how much a lease of a server's shards outlasts the time between two heartbeats, unless the
-/// settings say otherwise: a heartbeat that gets no answer for a second, the next that meets a group
-/// without a leader, and a margin.
-const LEASE_BEYOND_HEARTBEAT: f64 = 2.2;
+/// Seconds by which a server's lease on its shards exceeds the heartbeat interval, unless the settings say
+/// otherwise. Covers a heartbeat that is not answered for a second, a second one that reaches a group without
+/// a leader, and a margin.
+const LEASE_MARGIN_S: f64 = 2.2;
 
-/// Link of a machine unless the settings say otherwise.
+/// Capacity of a machine's link in megabits per second, unless the settings say otherwise.
 const DEFAULT_LINK_MBPS: f64 = 100.0;
 
-/// Time in which a leaving server gives its shards back, as a part of the time that it has.
-const DRAIN_PART: f64 = 0.5;
+/// Fraction of the drain time in which a leaving server releases its shards.
+const DRAIN_RELEASE_FRACTION: f64 = 0.5;
 
-/// Time in which the servers of an evacuated zone give their shards back, as a part of the time that there is:
-/// a heartbeat may come that much later, and the new owner's one after it.
-const EVACUATION_PART: f64 = 0.3;
+/// Fraction of the evacuation time in which the servers of an evacuated zone release their shards: one
+/// heartbeat may arrive that much later, followed by one from the new owner.
+const EVACUATION_RELEASE_FRACTION: f64 = 0.3;
 
-/// Time after which servers of an evacuated zone get no more requests unless the settings say otherwise.
+/// Seconds after which servers of an evacuated zone receive no more requests, unless the settings say
+/// otherwise.
 pub const DEFAULT_EVACUATION_S: f64 = 5.0;
 
-/// Time after which a leaving server gets no more requests unless the settings say otherwise.
+/// Seconds after which a leaving server receives no more requests, unless the settings say otherwise.
 pub const DEFAULT_DRAIN_S: f64 = 2.0;
 
-/// Most voters: with more of them each commit waits for too many disks.
+/// Maximum number of voters: with more, each commit waits for too many disks.
 const MAXIMUM_VOTERS: usize = 15;
 
-/// Why settings can't be used.
+/// Why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is no TOML of the expected shape.
+    /// The file is not valid TOML or does not match the expected structure.
     #[error("{path}: {message}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the parser says, with line and field.
+        /// The parser's message, with line and field.
         message: String,
     },
-    /// A value breaks a rule.
+    /// A value violates a rule.
     #[error("{field}: {rule}")]
     Value {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The rule.
+        /// The violated rule.
         rule: &'static str,
     },
 }
@@ -69,56 +70,56 @@
 pub struct DirectorySettings {
     /// Name of the machine.
     pub node: String,
-    /// Zone it stands in.
+    /// Zone of the machine.
     pub zone: String,
-    /// Zones of the deployment, which an evacuation may name; any may be named without.
+    /// Zones of the deployment that an evacuation may name; if empty, any zone may be named.
     #[serde(default)]
     pub zones: Vec<String>,
     /// Address for operators and servers.
     pub control_address: SocketAddr,
-    /// Port at which metrics are told, at the control address; 0 for none.
+    /// Port of the metrics endpoint at the control address; 0 disables it.
     #[serde(default)]
     pub metrics_port: u16,
-    /// Address to listen on and to connect from, where it is not the one that others use.
+    /// Local IP address for listening and connecting, if it differs from the advertised one.
     #[serde(default)]
     pub bind_ip: Option<IpAddr>,
-    /// Port at which all replicas and gateways speak to each other.
+    /// Port for connections between replicas and gateways.
     pub link_port: u16,
-    /// Control addresses of replicas that are likely to be there.
+    /// Control addresses of replicas that are likely to be reachable.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, with empty disks.
+    /// Whether this is the first start of the whole system, with empty disks.
     pub bootstrap: bool,
     /// Folder for durable state.
     pub data_dir: PathBuf,
     /// Seconds between two heartbeats of one server.
     pub heartbeat_s: f64,
-    /// Seconds of a server's lease on its shards; the time between two heartbeats and 2.2 s without.
+    /// Seconds of a server's lease on its shards; defaults to the heartbeat interval plus 2.2 s.
     #[serde(default)]
     pub lease_s: Option<f64>,
-    /// Megabits a second of the machine's link.
+    /// Capacity of the machine's link in megabits per second.
     #[serde(default = "default_link")]
     pub link_mbps: f64,
-    /// Bounds that the deployment sets.
+    /// Limits set by the deployment.
     #[serde(default)]
     pub bounds: Bounds,
-    /// What may be lost at the same time without losing anything acknowledged; one machine without.
+    /// What may be lost at the same time without losing acknowledged data; defaults to one machine.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// Whether this machine is one of those whose losses are bounded. Replicas on others never vote.
+    /// Whether this machine counts towards the tolerated losses. Replicas on other machines never vote.
     #[serde(default = "default_may_vote")]
     pub tolerance_member: bool,
 }
 
-/// Bounds that the deployment sets; unknown ones are passed over.
+/// Limits set by the deployment; unknown keys are ignored.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Bounds {
-    /// Seconds of the longest lease.
+    /// Seconds of the longest allowed lease.
     pub hold_max_s: Option<f64>,
-    /// Seconds after which a leaving server gets no more requests.
+    /// Seconds after which a leaving server receives no more requests.
     pub drain_s: Option<f64>,
-    /// Seconds between a request to stop and the end.
+    /// Seconds between the request to stop and the end of a process.
     pub grace_s: Option<f64>,
-    /// Seconds after which the servers of an evacuated zone get no more requests.
+    /// Seconds after which the servers of an evacuated zone receive no more requests.
     pub evacuation_s: Option<f64>,
 }
 
@@ -131,10 +132,10 @@
 }
 
 impl DirectorySettings {
-    /// Loads and checks a file.
+    /// Loads and validates a file.
     ///
     /// # Errors
-    /// It can't be read, is malformed, or a value breaks a rule.
+    /// The file cannot be read, is malformed, or a value violates a rule.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let settings: Self = load_toml(path)?;
         settings.check()?;
@@ -147,7 +148,10 @@
         check_optional("bounds.evacuation_s", self.bounds.evacuation_s)?;
         check_positive("link_mbps", self.link_mbps)?;
         if self.fault_tolerance.wanted_voters() > MAXIMUM_VOTERS {
-            return Err(value("fault_tolerance", "must not want over 15 voters"));
+            return Err(value(
+                "fault_tolerance",
+                "must not require more than 15 voters",
+            ));
         }
         if self.link_port == 0 {
             return Err(value("link_port", "must not be 0"));
@@ -161,12 +165,12 @@
         Ok(())
     }
 
-    /// Address for replicas and gateways.
+    /// Advertised address for replicas and gateways.
     pub fn link_address(&self) -> SocketAddr {
         SocketAddr::new(self.control_address.ip(), self.link_port)
     }
 
-    /// Where to listen for what others reach at `address`.
+    /// Local address on which to listen for connections to the advertised `address`.
     pub fn bind_address(&self, address: SocketAddr) -> SocketAddr {
         SocketAddr::new(self.bind_ip.unwrap_or(address.ip()), address.port())
     }
@@ -176,37 +180,39 @@
         link_addresses(&self.seeds, self.link_port)
     }
 
-    /// Length of a lease.
+    /// Duration of a server's lease on its shards.
     pub fn lease(&self) -> Duration {
-        let limit = self.bounds.hold_max_s.unwrap_or(DEFAULT_LEASE_LIMIT);
+        let limit = self.bounds.hold_max_s.unwrap_or(DEFAULT_MAX_LEASE_S);
         let lease = self.lease_s;
-        let lease = lease.unwrap_or(self.heartbeat_s + LEASE_BEYOND_HEARTBEAT);
+        let lease = lease.unwrap_or(self.heartbeat_s + LEASE_MARGIN_S);
         Duration::from_secs_f64(lease.min(limit))
     }
 
-    /// Time in which the servers of an evacuated zone give their shards back.
+    /// Time in which the servers of an evacuated zone release their shards.
     pub fn evacuation_window(&self) -> Duration {
         let bound = self.bounds.evacuation_s.unwrap_or(DEFAULT_EVACUATION_S);
-        Duration::from_secs_f64(bound * EVACUATION_PART)
+        Duration::from_secs_f64(bound * EVACUATION_RELEASE_FRACTION)
     }
 
-    /// Time in which a leaving server gives its shards back.
+    /// Time in which a leaving server releases its shards.
     pub fn drain_window(&self) -> Duration {
-        Duration::from_secs_f64(self.bounds.drain_s.unwrap_or(DEFAULT_DRAIN_S) * DRAIN_PART)
+        Duration::from_secs_f64(
+            self.bounds.drain_s.unwrap_or(DEFAULT_DRAIN_S) * DRAIN_RELEASE_FRACTION,
+        )
     }
 }
 
-/// Checks a duration that may be left out.
+/// Validates an optional duration.
 ///
 /// # Errors
-/// It is there and not a number above 0.
+/// The value is present and is not a number above 0.
 pub fn check_optional(field: &'static str, number: Option<f64>) -> Result<(), SettingsError> {
     number.map_or(Ok(()), |number| check_positive(field, number))
 }
 
-/// Internal addresses of machines whose control addresses are known.
-pub fn link_addresses(controls: &[SocketAddr], link_port: u16) -> Vec<SocketAddr> {
-    let mut ips: Vec<IpAddr> = controls.iter().map(SocketAddr::ip).collect();
+/// Internal addresses of machines with these control addresses, without duplicates.
+pub fn link_addresses(control_addresses: &[SocketAddr], link_port: u16) -> Vec<SocketAddr> {
+    let mut ips: Vec<IpAddr> = control_addresses.iter().map(SocketAddr::ip).collect();
     ips.sort();
     ips.dedup();
     ips.into_iter()
@@ -217,7 +223,7 @@
 /// Loads a TOML file.
 ///
 /// # Errors
-/// It can't be read or is malformed.
+/// The file cannot be read or is malformed.
 pub fn load_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
         path: path.to_owned(),
@@ -229,10 +235,10 @@
     })
 }
 
-/// Checks a duration or ratio.
+/// Validates a duration or ratio.
 ///
 /// # Errors
-/// It is not a number above 0.
+/// The value is not a number above 0.
 pub fn check_positive(field: &'static str, number: f64) -> Result<(), SettingsError> {
     match number.is_finite() && number > 0.0 {
         true => Ok(()),
--- a/crates/directory/tests/cluster/mod.rs
+++ b/crates/directory/tests/cluster/mod.rs
@@ -198,7 +198,7 @@
     pub fn leader(&self) -> Option<usize> {
         let leads = |replica: &Replica| {
             let node = replica.node.as_ref();
-            node.is_some_and(|node| node.leads_surely(self.now))
+            node.is_some_and(|node| node.holds_leader_lease(self.now))
         };
         self.replicas.iter().position(leads)
     }
@@ -317,7 +317,7 @@
             control_address: SocketAddr::new(replica.address.ip(), 8_000),
             seeds: self.seeds.clone(),
             bootstrap: replica.bootstrap,
-            fresh_replica: fresh,
+            new_replica_id: fresh,
             random_seed,
             timing: timing(),
         };
--- a/crates/directory/tests/crashes.rs
+++ b/crates/directory/tests/crashes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::{Catalog, Command, Fingerprint, InstanceId};
-use grebepin_directory::crashes::{CrashBook, CrashReport};
+use grebepin_directory::crashes::{CrashReport, CrashTracker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -23,9 +23,16 @@
 }
 
 /// Tells the leader of crashes and applies what it decides; the requests quarantined then.
-fn tell(book: &mut CrashBook, catalog: &mut Catalog, now: Duration, told: &[CrashReport]) -> usize {
-    told.iter().for_each(|report| book.note(now, report));
-    for command in book.due(now, catalog) {
+fn report_crashes(
+    tracker: &mut CrashTracker,
+    catalog: &mut Catalog,
+    now: Duration,
+    reports: &[CrashReport],
+) -> usize {
+    reports
+        .iter()
+        .for_each(|report| tracker.record(now, report));
+    for command in tracker.due_commands(now, catalog) {
         catalog.apply(&command);
     }
     catalog.quarantine().requests().count()
@@ -33,41 +40,62 @@
 
 #[test]
 fn three_lives_of_servers_at_three_times_quarantine_a_request_and_time_ends_it() {
-    let (mut book, mut catalog) = (CrashBook::default(), Catalog::default());
+    let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
     let two = [crash(1, 1, SECOND), crash(1, 2, ms(0))];
-    assert_eq!(tell(&mut book, &mut catalog, ms(5_000), &two), 0);
+    assert_eq!(
+        report_crashes(&mut tracker, &mut catalog, ms(5_000), &two),
+        0
+    );
     // The same crashes again, by the same and by another gateway.
-    assert_eq!(tell(&mut book, &mut catalog, ms(6_000), &two), 0);
+    assert_eq!(
+        report_crashes(&mut tracker, &mut catalog, ms(6_000), &two),
+        0
+    );
     let third = [
         crash(1, 1, SECOND * 2),
         crash(1, 2, SECOND),
         crash(1, 3, ms(0)),
     ];
-    assert_eq!(tell(&mut book, &mut catalog, ms(6_100), &third), 1);
+    assert_eq!(
+        report_crashes(&mut tracker, &mut catalog, ms(6_100), &third),
+        1
+    );
     assert!(catalog.quarantine().contains(third[0].fingerprint));
-    assert_eq!(tell(&mut book, &mut catalog, ms(6_150), &[]), 1);
-    assert_eq!(tell(&mut book, &mut catalog, ms(600_000), &[]), 1);
-    assert_eq!(tell(&mut book, &mut catalog, ms(960_000), &[]), 0);
+    assert_eq!(
+        report_crashes(&mut tracker, &mut catalog, ms(6_150), &[]),
+        1
+    );
+    assert_eq!(
+        report_crashes(&mut tracker, &mut catalog, ms(600_000), &[]),
+        1
+    );
+    assert_eq!(
+        report_crashes(&mut tracker, &mut catalog, ms(960_000), &[]),
+        0
+    );
 }
 
 /// A rack that fails takes many servers at one moment, with whatever they were running.
 #[test]
 fn servers_that_fail_together_quarantine_nothing() {
-    let (mut book, mut catalog) = (CrashBook::default(), Catalog::default());
-    let told: Vec<CrashReport> = (0..50)
+    let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
+    let reports: Vec<CrashReport> = (0..50)
         .flat_map(|server| (0..20).map(move |request| crash(request, server, ms(server))))
         .collect();
-    assert_eq!(tell(&mut book, &mut catalog, ms(5_000), &told), 0);
+    assert_eq!(
+        report_crashes(&mut tracker, &mut catalog, ms(5_000), &reports),
+        0
+    );
 }
 
 /// A gateway that saw the request run to an end tells of its crashes no more.
 #[test]
 fn crashes_that_are_told_no_more_are_forgotten() {
-    let (mut book, mut catalog) = (CrashBook::default(), Catalog::default());
-    tell(&mut book, &mut catalog, ms(1_000), &[crash(1, 1, ms(0))]);
-    tell(&mut book, &mut catalog, ms(2_000), &[crash(1, 2, ms(0))]);
+    let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
+    report_crashes(&mut tracker, &mut catalog, ms(1_000), &[crash(1, 1, ms(0))]);
+    report_crashes(&mut tracker, &mut catalog, ms(2_000), &[crash(1, 2, ms(0))]);
     assert_eq!(
-        tell(&mut book, &mut catalog, ms(6_000), &[crash(1, 3, ms(0))]),
+        report_crashes(&mut tracker, &mut catalog, ms(6_000), &[crash(1, 3, ms(0))]),
         0
     );
 }
@@ -75,17 +103,20 @@
 /// A new leader, whose clock began later than the crashes, knows all of them with the next reports.
 #[test]
 fn a_leader_that_has_just_started_counts_crashes_before_its_start() {
-    let (mut book, mut catalog) = (CrashBook::default(), Catalog::default());
-    let told = [0, 30, 60].map(|age| crash(1, age, SECOND * age as u32));
-    assert_eq!(tell(&mut book, &mut catalog, ms(300), &told), 1);
+    let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
+    let reports = [0, 30, 60].map(|age| crash(1, age, SECOND * age as u32));
+    assert_eq!(
+        report_crashes(&mut tracker, &mut catalog, ms(300), &reports),
+        1
+    );
 }
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let (mut book, mut catalog) = (CrashBook::default(), Catalog::default());
+    let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
     for request in 0..2_000 {
-        let told = [0, 1, 2].map(|server| crash(request, server, SECOND * server as u32));
-        tell(&mut book, &mut catalog, ms(10_000 + request), &told);
+        let reports = [0, 1, 2].map(|server| crash(request, server, SECOND * server as u32));
+        report_crashes(&mut tracker, &mut catalog, ms(10_000 + request), &reports);
     }
     assert_eq!(catalog.quarantine().requests().count(), 256);
     let commands = catalog
@@ -108,16 +139,16 @@
 fn ordinary_requests_are_not_quarantined_while_many_servers_crash() {
     for seed in 0..10_000 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let (mut book, mut catalog) = (CrashBook::default(), Catalog::default());
+        let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
         let mut next_request = 0;
         for wave in 1..=4_u64 {
             let now = SECOND * wave as u32 * 2;
             let crashed: BTreeSet<u64> = (0..5).map(|_| random.random_range(0..15)).collect();
-            let mut told = Vec::new();
+            let mut reports = Vec::new();
             for server in crashed {
                 for _ in 0..random.random_range(0..4) {
                     next_request += 1;
-                    told.push(crash(
+                    reports.push(crash(
                         next_request,
                         server * 10 + wave,
                         ms(random.random_range(0..900)),
@@ -125,11 +156,15 @@
                     // Its second sending met another server that crashed.
                     if random.random_bool(0.3) {
                         let other = random.random_range(0..15) * 10 + wave;
-                        told.push(crash(next_request, other, ms(random.random_range(0..900))));
+                        reports.push(crash(next_request, other, ms(random.random_range(0..900))));
                     }
                 }
             }
-            assert_eq!(tell(&mut book, &mut catalog, now, &told), 0, "seed {seed}");
+            assert_eq!(
+                report_crashes(&mut tracker, &mut catalog, now, &reports),
+                0,
+                "seed {seed}"
+            );
         }
     }
 }
--- a/crates/directory/tests/fleet.rs
+++ b/crates/directory/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::InstanceId;
-use grebepin_directory::fleet::{Fleet, FleetSummary, Gathered, ReplicaReport};
+use grebepin_directory::fleet::{Fleet, FleetSummary, LoadBuffer, ReplicaReport};
 use grebepin_grants::{LoadSample, ServerSample};
 
 fn at(ms: u64) -> Duration {
@@ -37,9 +37,9 @@
 #[test]
 fn the_leader_counts_the_gateways_of_all_replicas() {
     let mut fleet = Fleet::default();
-    fleet.note_report(at(0), &report("a", 17, &[]));
-    fleet.note_report(at(0), &report("b", 16, &[]));
-    fleet.note_report(at(100), &report("a", 15, &[]));
+    fleet.record_report(at(0), &report("a", 17, &[]));
+    fleet.record_report(at(0), &report("b", 16, &[]));
+    fleet.record_report(at(100), &report("a", 15, &[]));
     assert_eq!(fleet.gateways(at(200), true, 14), 45);
     assert_eq!(
         fleet.gateways(at(3_050), true, 14),
@@ -56,17 +56,19 @@
         gateways: 282,
         relays: Vec::new(),
     };
-    fleet.note_summary(at(0), &summary);
+    fleet.record_summary(at(0), &summary);
     assert_eq!(fleet.gateways(at(0), false, 16), 282);
 }
 
 #[test]
 fn relays_of_every_replica_are_named_in_turn() {
     let mut fleet = Fleet::default();
-    fleet.note_report(at(0), &report("a", 2, &["g1", "g2", ""]));
-    fleet.note_report(at(0), &report("b", 2, &["g3", "g4", "g5"]));
-    let mut named: Vec<String> = (0..5).flat_map(|round| fleet.some_relays(round)).collect();
-    assert_eq!(fleet.some_relays(0).len(), 3);
+    fleet.record_report(at(0), &report("a", 2, &["g1", "g2", ""]));
+    fleet.record_report(at(0), &report("b", 2, &["g3", "g4", "g5"]));
+    let mut named: Vec<String> = (0..5)
+        .flat_map(|round| fleet.select_relays(round))
+        .collect();
+    assert_eq!(fleet.select_relays(0).len(), 3);
     named.sort();
     named.dedup();
     assert_eq!(named, ["g1", "g2", "g3", "g4", "g5"]);
@@ -74,16 +76,19 @@
 
 #[test]
 fn reports_are_added_up_and_told_soon() {
-    let mut gathered = Gathered::default();
-    gathered.add(&load(7, 2, 3));
-    gathered.add(&load(7, 4, 1));
-    gathered.add(&load(9, 1, 0));
-    assert!(!gathered.is_due(at(100)));
-    assert!(gathered.is_due(at(150)));
-    let sum = gathered.take(at(150));
+    let mut load_buffer = LoadBuffer::default();
+    load_buffer.add(&load(7, 2, 3));
+    load_buffer.add(&load(7, 4, 1));
+    load_buffer.add(&load(9, 1, 0));
+    assert!(!load_buffer.is_due(at(100)));
+    assert!(load_buffer.is_due(at(150)));
+    let sum = load_buffer.take(at(150));
     assert_eq!(sum.shards, [("s".to_owned(), vec![(7, 6), (9, 1)])]);
     assert_eq!(sum.servers[0].answers, 4);
     assert!((sum.servers[0].seconds - 1.5).abs() < 1e-6);
-    assert!(!gathered.is_due(at(400)), "nothing new: the count can wait");
-    assert!(gathered.is_due(at(650)));
+    assert!(
+        !load_buffer.is_due(at(400)),
+        "nothing new: the count can wait"
+    );
+    assert!(load_buffer.is_due(at(650)));
 }
--- a/crates/directory/tests/pacing.rs
+++ b/crates/directory/tests/pacing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebepin_directory::pacing::{Pacer, RoundEnd, Rounds};
+use grebepin_directory::pacing::{Pacer, RoundEnd, RoundSchedule};
 
 const BYTES_PER_SECOND: f64 = 2_550_000.0;
 const STATE_BYTES: usize = 100_000;
@@ -54,7 +54,7 @@
 /// every 5 ms while it is behind. `cut_short` is how a round counts that the allowance ended.
 fn seconds_to_feed(gateways: usize, state_bytes: usize, cut_short: RoundEnd) -> f64 {
     let mut pacer = Pacer::new(50_000_000.0);
-    let mut rounds = Rounds::default();
+    let mut rounds = RoundSchedule::default();
     let mut lacking = gateways;
     let mut now = Duration::ZERO;
     while lacking > 0 {
@@ -62,7 +62,7 @@
         if !rounds.is_due(now) {
             continue;
         }
-        let mut end = RoundEnd::Whole;
+        let mut end = RoundEnd::Complete;
         while lacking > 0 {
             if !pacer.allows(now) {
                 end = cut_short;
@@ -71,7 +71,7 @@
             pacer.spend(state_bytes);
             lacking -= 1;
         }
-        rounds.ended(now, gateways, end);
+        rounds.record_end(now, gateways, end);
     }
     now.as_secs_f64()
 }
@@ -81,7 +81,7 @@
     for gateways in [30, 100, 300, 1_000] {
         let bytes = gateways * 250_000;
         let least = bytes as f64 / 50_000_000.0;
-        let took = seconds_to_feed(gateways, 250_000, RoundEnd::CutShort);
+        let took = seconds_to_feed(gateways, 250_000, RoundEnd::AllowanceExhausted);
         assert!(
             took <= least * 1.1 + 0.05,
             "{gateways}: {took} s of {least}"
@@ -91,8 +91,8 @@
 
 #[test]
 fn whole_rounds_leave_a_pause_for_each_gateway() {
-    let mut rounds = Rounds::default();
-    rounds.ended(Duration::ZERO, 40, RoundEnd::Whole);
+    let mut rounds = RoundSchedule::default();
+    rounds.record_end(Duration::ZERO, 40, RoundEnd::Complete);
     assert!(!rounds.is_due(Duration::from_millis(59)));
     assert!(rounds.is_due(Duration::from_millis(60)));
 }
@@ -101,7 +101,7 @@
 /// gateways, 6.8 s for 1.5 s with 300.
 #[test]
 fn a_whole_pause_after_each_part_would_waste_the_link() {
-    let took = |gateways| seconds_to_feed(gateways, 250_000, RoundEnd::Whole);
+    let took = |gateways| seconds_to_feed(gateways, 250_000, RoundEnd::Complete);
     assert!((0.7..0.8).contains(&took(100)), "{}", took(100));
     assert!((6.5..7.0).contains(&took(300)), "{}", took(300));
 }
