--- a/crates/directory/tests/cluster/calls.rs
+++ b/crates/directory/tests/cluster/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and servers, and waiting for what they lead to.
+//! Calls of operators and servers, and waiting for their effects.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::{limits, Cluster, Pending, STEP};
 
 impl Cluster {
-    /// Sends a change to a replica drawn by lot.
+    /// Sends a change to a randomly chosen replica.
     pub fn change(&mut self, version: u64) {
         let to = self.random.random_range(0..self.replicas.len());
         let change = Call::ChangeItems(ItemChange {
@@ -20,7 +20,7 @@
         self.call(to, change, Pending::Change(version));
     }
 
-    /// Sends a change whose document has so many bytes to a replica.
+    /// Sends a change whose document has this size to a replica.
     pub fn change_of_bytes(&mut self, to: usize, version: u64, bytes: usize) {
         let change = Call::ChangeItems(ItemChange {
             upserts: vec![Item {
@@ -32,7 +32,7 @@
         self.call(to, change, Pending::Change(version));
     }
 
-    /// Sends a change again and again, to other replicas, as an operator does.
+    /// Retries a change at randomly chosen replicas until it is acknowledged, as an operator does.
     pub fn change_until_acknowledged(&mut self, version: u64) {
         for _ in 0..40 {
             self.change(version);
@@ -44,7 +44,7 @@
         panic!("version {version} was never acknowledged");
     }
 
-    /// Sends a change again and again without a pause, until the first moment at which it is acknowledged.
+    /// Retries a change without a pause, until the first moment at which it is acknowledged.
     pub fn change_as_early_as_possible(&mut self, version: u64) {
         for _ in 0..1_000 {
             self.change(version);
@@ -56,7 +56,7 @@
         panic!("version {version} was never acknowledged");
     }
 
-    /// Sends the beginning or end of an evacuation to a replica drawn by lot.
+    /// Sends the start or end of an evacuation to a randomly chosen replica.
     pub fn evacuate(&mut self, zone: &str, evacuated: bool) {
         let to = self.random.random_range(0..self.replicas.len());
         let call = Call::SetEvacuation {
@@ -66,7 +66,8 @@
         self.call(to, call, Pending::Evacuation);
     }
 
-    /// Sends it again and again, to other replicas, as an operator does; how long that took.
+    /// Retries the start or end of an evacuation until it is acknowledged, as an operator does. Returns how
+    /// long that took.
     pub fn evacuate_until_acknowledged(&mut self, zone: &str, evacuated: bool) -> Duration {
         let (before, began) = (self.evacuations_acknowledged, self.now);
         for _ in 0..100 {
@@ -79,28 +80,28 @@
         panic!("the evacuation was never acknowledged");
     }
 
-    /// Whether the leader holds a zone as evacuated.
+    /// Whether the zone is evacuated in the leader's catalog.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let leader = self.leader().expect("a leader");
         let node = self.replicas[leader].node.as_ref().expect("runs");
         node.catalog().evacuated_zones().contains(zone)
     }
 
-    /// A server's call, to the leader, after which the group has time to commit what follows from it.
-    pub fn call_of_server(&mut self, call: Call) {
+    /// Sends a server's call to the leader and gives the group time to commit the resulting entries.
+    pub fn send_server_call(&mut self, call: Call) {
         let leader = self.leader().expect("a leader");
-        self.call(leader, call, Pending::OfServer);
+        self.call(leader, call, Pending::ServerCall);
         self.run(Duration::from_millis(300));
     }
 
-    /// What the leader holds of a server.
+    /// The leader's record of a server.
     pub fn instance(&self, id: &InstanceId) -> Option<Instance> {
         let leader = self.leader().expect("a leader");
         let node = self.replicas[leader].node.as_ref().expect("runs");
         node.catalog().instance(id).cloned()
     }
 
-    /// Reads at every replica.
+    /// Sends a read to every replica.
     pub fn read(&mut self) {
         for number in 0..self.replicas.len() {
             self.read_at(number);
--- a/crates/directory/tests/cluster/faults.rs
+++ b/crates/directory/tests/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! What strikes a group of replicas.
+//! Fault injection for a group of replicas.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 
 use super::{Cluster, Pending};
 
-/// What strikes a group.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     KillAll,
     PowerOffAll,
     WipeOneWhileOthersLosePower,
     WipeLeader,
-    CutLeader,
+    PartitionLeader,
     StallLeader,
-    /// The leader's machine is suspended: nothing runs there until it is woken.
+    /// The leader's machine is suspended: nothing runs on it until it is resumed.
     SuspendLeader,
-    /// The same, and its clock does not count that time.
-    SuspendLeaderUncounted,
+    /// Like `SuspendLeader`, but the machine's clock does not include the time of the suspension.
+    SuspendLeaderAndClock,
     FillLeaderDisk,
     ReplaceOne,
     /// The leader and another voter lose their disks at once.
     WipeTwoVoters,
-    /// The same, while all others lose power.
+    /// Like `WipeTwoVoters`, while all other replicas lose power.
     WipeTwoVotersWhileOthersLosePower,
-    /// All replicas of the leader's zone are gone for good.
+    /// All replicas of the leader's zone are lost permanently.
     LoseZoneOfLeader,
 }
 
 impl Cluster {
-    pub fn strike(&mut self, fault: Fault) {
+    pub fn inject(&mut self, fault: Fault) {
         let leader = self.leader().unwrap_or(0);
         match fault {
             Fault::KillAll => self.for_all(|cluster, number| cluster.kill(number, Crash::KeepAll)),
@@ -49,16 +49,16 @@
                 self.kill(leader, Crash::LoseUnsynced);
                 self.wipe(leader);
             }
-            Fault::CutLeader => {
-                self.replicas[leader].cut_until = self.now + Duration::from_secs(5);
+            Fault::PartitionLeader => {
+                self.replicas[leader].partitioned_until = self.now + Duration::from_secs(5);
             }
             Fault::StallLeader => {
                 self.replicas[leader].stalled_until = self.now + Duration::from_secs(4);
             }
             Fault::SuspendLeader => self.replicas[leader].stalled_until = Duration::MAX,
-            Fault::SuspendLeaderUncounted => {
+            Fault::SuspendLeaderAndClock => {
                 self.replicas[leader].stalled_until = Duration::MAX;
-                self.replicas[leader].uncounted = self.now;
+                self.replicas[leader].clock_lag = self.now;
             }
             Fault::FillLeaderDisk => self.replicas[leader].disk.set_capacity(Some(0)),
             Fault::WipeTwoVoters => {
@@ -78,32 +78,32 @@
                 let zone = leader % self.zones;
                 for number in (zone..self.replicas.len()).step_by(self.zones) {
                     self.kill(number, Crash::LoseUnsynced);
-                    self.replicas[number].gone = true;
+                    self.replicas[number].removed = true;
                 }
             }
             Fault::ReplaceOne => {
                 let number = self.replicas.len();
                 self.kill(leader, Crash::LoseUnsynced);
-                self.replicas[leader].gone = true;
+                self.replicas[leader].removed = true;
                 self.add_replica(number, false);
             }
         }
     }
 
-    /// Wakes a suspended machine: a server's leave is the first thing that its replica works on.
-    pub fn wake_with_leave(&mut self, number: usize) {
+    /// Resumes a suspended machine; a server's leave is the first input that its replica processes.
+    pub fn resume_with_leave(&mut self, number: usize) {
         let replica = &mut self.replicas[number];
         replica.stalled_until = self.now;
-        if !replica.uncounted.is_zero() {
-            replica.uncounted = self.now - replica.uncounted;
+        if !replica.clock_lag.is_zero() {
+            replica.clock_lag = self.now - replica.clock_lag;
         }
         let leave = Call::Leave(InstanceId::new("unknown"));
-        self.call(number, leave, Pending::OfServer);
+        self.call(number, leave, Pending::ServerCall);
     }
 
-    fn for_all(&mut self, strike: impl Fn(&mut Self, usize)) {
+    fn for_all(&mut self, inject: impl Fn(&mut Self, usize)) {
         for number in 0..self.replicas.len() {
-            strike(self, number);
+            inject(self, number);
         }
     }
 
--- a/crates/directory/tests/cluster/mod.rs
+++ b/crates/directory/tests/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas on a virtual clock: simulated disks, a network that delays, cuts and forgets.
+//! A group of replicas on a virtual clock with simulated disks and a network that delays and drops messages
+//! and can be partitioned.
 
 mod calls;
 mod faults;
@@ -31,12 +32,12 @@
     node: Option<Node<SimulatedDisk>>,
     restarts_at: Option<Duration>,
     stalled_until: Duration,
-    /// Time that went by while its machine was suspended and that its clock did not count.
-    uncounted: Duration,
-    cut_until: Duration,
+    /// Time during which the machine was suspended and its clock did not advance.
+    clock_lag: Duration,
+    partitioned_until: Duration,
     bootstrap: bool,
     may_vote: bool,
-    gone: bool,
+    removed: bool,
 }
 
 struct Sent {
@@ -46,7 +47,7 @@
     input: NodeInput,
 }
 
-/// A group.
+/// A group of replicas.
 pub struct Cluster {
     random: SmallRng,
     now: Duration,
@@ -55,24 +56,24 @@
     seeds: Vec<SocketAddr>,
     replicas: Vec<Replica>,
     network: Vec<Sent>,
-    /// Frames that each replica sent to each other one.
+    /// Number of frames sent, by sender and receiver.
     sent: BTreeMap<(usize, usize), u32>,
-    /// When frames with more than 64 KiB of entries were sent, and to whom.
+    /// Times and receivers of frames with more than 64 KiB of entries.
     pub bulk_sent: Vec<(Duration, usize)>,
     next_call: u64,
-    /// Calls under way: the version of a change, or for a read the version acknowledged when it began.
+    /// Calls that are not answered yet.
     calls: BTreeMap<CallId, Pending>,
-    /// Versions acknowledged, in order.
+    /// Acknowledged versions, in order.
     pub acknowledged: Vec<u64>,
-    /// Versions read, in order.
+    /// Versions returned by reads, in order.
     pub reads: Vec<u64>,
-    /// Reads that were older than what had been acknowledged when they began.
+    /// Number of reads that returned a version older than one acknowledged before the read was sent.
     pub stale_reads: u32,
-    /// How many evacuations, or ends of one, were acknowledged.
+    /// Number of acknowledged starts and ends of evacuations.
     pub evacuations_acknowledged: u32,
-    /// Leaves of unknown servers that a replica acknowledged by its own lease.
+    /// Number of leaves of unknown servers that a replica acknowledged under its own lease.
     pub leaves_acknowledged: u32,
-    /// Zones that were refused, in order.
+    /// Rejected zones, in order.
     pub unknown_zones: Vec<String>,
 }
 
@@ -82,8 +83,8 @@
         at_least: u64,
     },
     Evacuation,
-    /// A call of a server, of which a test looks at what it did to the state.
-    OfServer,
+    /// A call of a server. Tests check its effect on the state.
+    ServerCall,
 }
 
 fn address(number: usize) -> SocketAddr {
@@ -111,8 +112,9 @@
         cluster
     }
 
-    /// A group of `count` replicas in `zones` zones that must bear the loss of `machines` at once.
-    pub fn bearing(seed: u64, count: usize, zones: usize, machines: usize) -> Self {
+    /// A group of `count` replicas in `zones` zones that must tolerate the loss of `machines` machines at
+    /// once.
+    pub fn with_tolerance(seed: u64, count: usize, zones: usize, machines: usize) -> Self {
         let mut cluster = Self::without_replicas(seed);
         cluster.zones = zones;
         cluster.fault_tolerance.machines = machines;
@@ -144,21 +146,21 @@
         }
     }
 
-    /// The same for whole zones.
-    pub fn bear_zones(&mut self, zones: usize) {
+    /// Sets the number of complete zones that the group must tolerate losing.
+    pub fn tolerate_zone_losses(&mut self, zones: usize) {
         self.fault_tolerance.zones = zones;
-        self.bear(self.fault_tolerance.machines);
+        self.tolerate_machine_losses(self.fault_tolerance.machines);
     }
 
-    /// Adds a replica on a machine whose losses nothing bounds.
+    /// Adds a replica on a machine that does not count towards the tolerated losses.
     pub fn add_observer(&mut self) {
         let number = self.replicas.len();
         self.add_replica(number, false);
         self.replicas[number].may_vote = false;
     }
 
-    /// Takes another number of losses to be borne over, as changed settings would.
-    pub fn bear(&mut self, machines: usize) {
+    /// Sets the number of machines that the group must tolerate losing, as changed settings do.
+    pub fn tolerate_machine_losses(&mut self, machines: usize) {
         self.fault_tolerance.machines = machines;
         for replica in &mut self.replicas {
             if let Some(node) = &mut replica.node {
@@ -175,11 +177,11 @@
             node: None,
             restarts_at: Some(self.now + Duration::from_millis(self.random.random_range(0..300))),
             stalled_until: Duration::ZERO,
-            uncounted: Duration::ZERO,
-            cut_until: Duration::ZERO,
+            clock_lag: Duration::ZERO,
+            partitioned_until: Duration::ZERO,
             bootstrap,
             may_vote: true,
-            gone: false,
+            removed: false,
         });
     }
 
@@ -203,7 +205,7 @@
         self.replicas.iter().position(leads)
     }
 
-    /// Runs until a replica leads; how long that took from when all had started.
+    /// Runs until a replica leads. Returns how long that took after all replicas had started.
     pub fn wait_for_leader_after_restart(&mut self) -> Duration {
         let starts = self.replicas.iter().filter_map(|one| one.restarts_at);
         let all_started = starts.max().unwrap_or(self.now);
@@ -220,13 +222,13 @@
         self.voter_members().len()
     }
 
-    /// Members of the leader's group, voters or not.
+    /// Number of members of the leader's group, voters or not.
     pub fn members(&self) -> usize {
         let members = self.membership().map(|membership| membership.members.len());
         members.unwrap_or(0)
     }
 
-    /// Voters in the zone with most of them.
+    /// Number of voters in the zone with the most voters.
     pub fn voters_of_fullest_zone(&self) -> usize {
         let mut zones: BTreeMap<String, usize> = BTreeMap::new();
         for member in self.voter_members() {
@@ -258,24 +260,24 @@
             .collect()
     }
 
-    /// The leader and another voter, drawn by lot.
+    /// The leader and another, randomly chosen voter.
     fn two_voters(&mut self, leader: usize) -> [usize; 2] {
         let others = (0..self.replicas.len()).filter(|one| *one != leader && self.is_voter(*one));
         let others: Vec<usize> = others.collect();
         [leader, others[self.random.random_range(0..others.len())]]
     }
 
-    /// Counts messages anew.
+    /// Resets the message counts.
     pub fn count_messages(&mut self) {
         self.sent.clear();
     }
 
-    /// Messages from one replica to another since the count began.
+    /// Number of messages from one replica to another since the last reset.
     pub fn messages_between(&self, from: usize, to: usize) -> u32 {
         self.sent.get(&(from, to)).copied().unwrap_or(0)
     }
 
-    /// Whether a replica would feed gateways.
+    /// Whether a replica would send its state to gateways.
     pub fn is_fed(&self, number: usize) -> bool {
         let node = self.replicas[number].node.as_ref();
         node.is_some_and(|node| node.is_fed(self.now))
@@ -296,7 +298,7 @@
     fn restart(&mut self) {
         for number in 0..self.replicas.len() {
             let replica = &self.replicas[number];
-            let is_due = replica.restarts_at.is_some_and(|at| at <= self.now) && !replica.gone;
+            let is_due = replica.restarts_at.is_some_and(|at| at <= self.now) && !replica.removed;
             if is_due {
                 self.start(number);
             }
@@ -304,7 +306,7 @@
     }
 
     fn start(&mut self, number: usize) {
-        let fresh = ReplicaId(self.random.random::<u64>() & !1);
+        let identity = ReplicaId(self.random.random::<u64>() & !1);
         let random_seed = self.random.random();
         let replica = &mut self.replicas[number];
         replica.restarts_at = None;
@@ -317,7 +319,7 @@
             control_address: SocketAddr::new(replica.address.ip(), 8_000),
             seeds: self.seeds.clone(),
             bootstrap: replica.bootstrap,
-            new_replica_id: fresh,
+            new_replica_id: identity,
             random_seed,
             timing: timing(),
         };
@@ -336,15 +338,15 @@
         }
     }
 
-    fn is_cut(&self, number: usize) -> bool {
-        self.replicas[number].cut_until > self.now
+    fn is_partitioned(&self, number: usize) -> bool {
+        self.replicas[number].partitioned_until > self.now
     }
 
     fn handle(&mut self, number: usize, inputs: Vec<NodeInput>) {
         let now = self.now;
         let replica = &mut self.replicas[number];
         if replica.stalled_until > now {
-            // The process waits for its disk; what was sent to it waits as well.
+            // The process is blocked, so messages to it wait as well.
             let at = replica.stalled_until;
             let late = inputs.into_iter().map(|input| Sent {
                 at,
@@ -355,21 +357,21 @@
             self.network.extend(late);
             return;
         }
-        let own_now = now.saturating_sub(replica.uncounted);
+        let node_now = now.saturating_sub(replica.clock_lag);
         let Some(node) = &mut replica.node else {
             return;
         };
-        match node.handle(&mut || own_now, inputs) {
+        match node.handle(&mut || node_now, inputs) {
             Ok(outputs) => {
                 for output in outputs {
-                    self.carry_out(number, output);
+                    self.execute(number, output);
                 }
             }
             Err(_) => replica.node = None,
         }
     }
 
-    fn carry_out(&mut self, from: usize, output: NodeOutput) {
+    fn execute(&mut self, from: usize, output: NodeOutput) {
         match output {
             NodeOutput::Peer { address, frame } => {
                 self.send(from, &address, NodeInput::Peer(frame));
@@ -377,17 +379,18 @@
             NodeOutput::Relay {
                 id, address, call, ..
             } => self.send(from, &address, NodeInput::Call { id, call }),
-            NodeOutput::Reply { id, reply } => self.take_reply(id, &reply),
+            NodeOutput::Reply { id, reply } => self.handle_reply(id, &reply),
             _ => {}
         }
     }
 
     fn send(&mut self, from: usize, address: &str, input: NodeInput) {
-        let is_there = |replica: &Replica| replica.address.to_string() == address && !replica.gone;
+        let is_there =
+            |replica: &Replica| replica.address.to_string() == address && !replica.removed;
         let Some(to) = self.replicas.iter().position(is_there) else {
             return;
         };
-        if to == from || self.is_cut(from) || self.is_cut(to) {
+        if to == from || self.is_partitioned(from) || self.is_partitioned(to) {
             return;
         }
         *self.sent.entry((from, to)).or_default() += 1;
@@ -404,7 +407,7 @@
         });
     }
 
-    fn take_reply(&mut self, id: CallId, reply: &Reply) {
+    fn handle_reply(&mut self, id: CallId, reply: &Reply) {
         match (self.calls.remove(&id), reply) {
             (Some(Pending::Change(version)), Reply::Changed)
                 if !self.acknowledged.contains(&version) =>
@@ -420,7 +423,7 @@
                 self.stale_reads += u32::from(version < at_least);
                 self.reads.push(version);
             }
-            (Some(Pending::OfServer), Reply::Left) => self.leaves_acknowledged += 1,
+            (Some(Pending::ServerCall), Reply::Left) => self.leaves_acknowledged += 1,
             (Some(Pending::Evacuation), Reply::EvacuationSet) => self.evacuations_acknowledged += 1,
             (Some(Pending::Evacuation), Reply::UnknownZone(zone)) => {
                 self.unknown_zones.push(zone.clone());
@@ -450,7 +453,7 @@
     limits.map_or(0, |item| item.version.0)
 }
 
-/// Bytes of the entries in a frame.
+/// Size of the entries in a frame, in bytes.
 fn entry_bytes(input: &NodeInput) -> usize {
     let NodeInput::Peer(PeerFrame::Message(message)) = input else {
         return 0;
--- a/crates/directory/tests/crashes.rs
+++ b/crates/directory/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from all servers, for crashes that gateways tell of.
+//! Which requests are quarantined because of crashes that gateways report.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Tells the leader of crashes and applies what it decides; the requests quarantined then.
+/// Reports crashes to the leader and applies its commands. Returns the number of quarantined requests.
 fn report_crashes(
     tracker: &mut CrashTracker,
     catalog: &mut Catalog,
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn three_lives_of_servers_at_three_times_quarantine_a_request_and_time_ends_it() {
+fn three_incarnations_crashing_at_different_times_quarantine_a_request_until_it_expires() {
     let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
     let two = [crash(1, 1, SECOND), crash(1, 2, ms(0))];
     assert_eq!(
         report_crashes(&mut tracker, &mut catalog, ms(5_000), &two),
         0
     );
-    // The same crashes again, by the same and by another gateway.
+    // The same crashes again, reported by the same gateway and by another one.
     assert_eq!(
         report_crashes(&mut tracker, &mut catalog, ms(6_000), &two),
         0
@@ -75,7 +75,7 @@
     );
 }
 
-/// A rack that fails takes many servers at one moment, with whatever they were running.
+/// A failing rack stops many servers at one moment, with all requests that they were executing.
 #[test]
 fn servers_that_fail_together_quarantine_nothing() {
     let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
@@ -88,9 +88,9 @@
     );
 }
 
-/// A gateway that saw the request run to an end tells of its crashes no more.
+/// A gateway stops reporting crashes of a request once the request has completed.
 #[test]
-fn crashes_that_are_told_no_more_are_forgotten() {
+fn crashes_that_are_no_longer_reported_are_forgotten() {
     let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
     report_crashes(&mut tracker, &mut catalog, ms(1_000), &[crash(1, 1, ms(0))]);
     report_crashes(&mut tracker, &mut catalog, ms(2_000), &[crash(1, 2, ms(0))]);
@@ -100,7 +100,8 @@
     );
 }
 
-/// A new leader, whose clock began later than the crashes, knows all of them with the next reports.
+/// The clock of a new leader starts after the crashes; the next reports must be sufficient to count all of
+/// them.
 #[test]
 fn a_leader_that_has_just_started_counts_crashes_before_its_start() {
     let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn the_number_of_recorded_crashes_is_bounded() {
     let (mut tracker, mut catalog) = (CrashTracker::default(), Catalog::default());
     for request in 0..2_000 {
         let reports = [0, 1, 2].map(|server| crash(request, server, SECOND * server as u32));
@@ -133,8 +134,8 @@
     assert!(catalog.quarantine().is_empty());
 }
 
-/// Days on which a third of a service's servers crash, several times, while requests that harm nobody are tried twice
-/// each, as their clients and gateways do: none is quarantined.
+/// A third of a service's servers crash several times while harmless requests are attempted twice each by
+/// their clients and gateways. None of these requests may be quarantined.
 #[test]
 fn ordinary_requests_are_not_quarantined_while_many_servers_crash() {
     for seed in 0..10_000 {
@@ -153,7 +154,7 @@
                         server * 10 + wave,
                         ms(random.random_range(0..900)),
                     ));
-                    // Its second sending met another server that crashed.
+                    // The second attempt reached another server that crashed.
                     if random.random_bool(0.3) {
                         let other = random.random_range(0..15) * 10 + wave;
                         reports.push(crash(next_request, other, ms(random.random_range(0..900))));
--- a/crates/directory/tests/evacuations.rs
+++ b/crates/directory/tests/evacuations.rs
@@ -1,4 +1,5 @@
-//! Evacuations over a group of replicas: what was acknowledged stays, whatever is lost, and the order may come again.
+//! Evacuations over a group of replicas: an acknowledged one survives every fault, and the call may be
+//! repeated.
 
 #[allow(dead_code, reason = "each test file uses a part of the harness")]
 mod cluster;
@@ -20,7 +21,7 @@
         Fault::PowerOffAll,
         Fault::WipeOneWhileOthersLosePower,
         Fault::WipeLeader,
-        Fault::CutLeader,
+        Fault::PartitionLeader,
         Fault::ReplaceOne,
     ];
     for fault in faults {
@@ -28,12 +29,12 @@
             let mut cluster = Cluster::new(seed, 3);
             cluster.run(seconds(3.0));
             cluster.evacuate_until_acknowledged(ZONE, true);
-            cluster.strike(fault);
+            cluster.inject(fault);
             cluster.run(seconds(9.0));
             cluster.change_until_acknowledged(1);
             assert!(cluster.is_evacuated(ZONE), "{fault:?}, seed {seed}");
             cluster.evacuate_until_acknowledged(ZONE, false);
-            cluster.strike(fault);
+            cluster.inject(fault);
             cluster.run(seconds(9.0));
             cluster.change_until_acknowledged(2);
             assert!(!cluster.is_evacuated(ZONE), "{fault:?}, seed {seed}");
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn an_order_that_comes_again_is_acknowledged_again() {
+fn a_repeated_evacuation_call_is_acknowledged_again() {
     let mut cluster = Cluster::new(3, 3);
     cluster.run(seconds(3.0));
     for _ in 0..3 {
@@ -52,11 +53,11 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_acknowledges_nothing_and_the_others_do() {
+fn a_partitioned_leader_acknowledges_nothing_and_the_others_do() {
     for seed in SEEDS {
         let mut cluster = Cluster::new(seed, 3);
         cluster.run(seconds(3.0));
-        cluster.strike(Fault::CutLeader);
+        cluster.inject(Fault::PartitionLeader);
         let took = cluster.evacuate_until_acknowledged(ZONE, true);
         assert!(took < seconds(3.0), "seed {seed}: {took:?}");
         cluster.run(seconds(8.0));
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_zone_that_the_deployment_does_not_have_is_refused() {
+fn an_unknown_zone_is_rejected() {
     let mut cluster = Cluster::new(5, 3);
     cluster.run(seconds(3.0));
     cluster.evacuate("nowhere", true);
--- a/crates/directory/tests/feeding.rs
+++ b/crates/directory/tests/feeding.rs
@@ -1,4 +1,4 @@
-//! What gateways are fed: small enough on the wire to be in force everywhere in time.
+//! Updates for gateways are small enough on the wire to be in force everywhere in time.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use grebepin_directory::link::FromReplica;
 use grebepin_reactor::take_frame;
 
-/// Bytes a second that 64 gateways are fed with over 0.4 of a link of 51 Mbit/s.
+/// Bytes per second available for updates to 64 gateways: 0.4 of a link of 51 Mbit/s.
 const FED_PER_SECOND: f64 = 2_550_000.0;
 const GATEWAYS: f64 = 64.0;
 
@@ -34,9 +34,9 @@
     }
 }
 
-/// A change of 1,200 routes took more than the 2 s in which it must be in force at 64 gateways.
+/// A change must be in force at all 64 gateways within 2 s; one of 1,200 routes has exceeded that.
 #[test]
-fn a_change_of_many_routes_reaches_a_crowd_of_gateways_in_time() {
+fn a_change_of_many_routes_reaches_many_gateways_in_time() {
     let change = ItemChange {
         upserts: (0..1_200).map(route).collect(),
         removals: Vec::new(),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_packed_frame_comes_out_as_it_went_in() {
+fn a_packed_frame_round_trips() {
     let state = (0..100_000_u32).map(|number| (number % 7) as u8).collect();
     let frame = FromReplica::Whole { index: 5, state };
     let mut bytes = frame.encode().expect("encodes");
@@ -64,6 +64,6 @@
 }
 
 #[test]
-fn bytes_that_are_not_packed_are_refused() {
+fn bytes_that_cannot_be_unpacked_are_rejected() {
     assert!(FromReplica::Packed(vec![1, 2, 3]).unpacked().is_err());
 }
--- a/crates/directory/tests/fleet.rs
+++ b/crates/directory/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What replicas tell each other of the gateways that follow them.
+//! Reports that replicas exchange about the gateways that follow them.
 
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn other_replicas_pass_the_leaders_count_on() {
+fn other_replicas_use_the_leaders_count() {
     let mut fleet = Fleet::default();
     assert_eq!(fleet.gateways(at(0), false, 3), 3);
     let summary = FleetSummary {
@@ -61,21 +61,21 @@
 }
 
 #[test]
-fn relays_of_every_replica_are_named_in_turn() {
+fn relays_of_every_replica_are_selected_in_rotation() {
     let mut fleet = Fleet::default();
     fleet.record_report(at(0), &report("a", 2, &["g1", "g2", ""]));
     fleet.record_report(at(0), &report("b", 2, &["g3", "g4", "g5"]));
-    let mut named: Vec<String> = (0..5)
+    let mut selected: Vec<String> = (0..5)
         .flat_map(|round| fleet.select_relays(round))
         .collect();
     assert_eq!(fleet.select_relays(0).len(), 3);
-    named.sort();
-    named.dedup();
-    assert_eq!(named, ["g1", "g2", "g3", "g4", "g5"]);
+    selected.sort();
+    selected.dedup();
+    assert_eq!(selected, ["g1", "g2", "g3", "g4", "g5"]);
 }
 
 #[test]
-fn reports_are_added_up_and_told_soon() {
+fn load_samples_are_summed_up_and_reported_soon() {
     let mut load_buffer = LoadBuffer::default();
     load_buffer.add(&load(7, 2, 3));
     load_buffer.add(&load(7, 4, 1));
--- a/crates/directory/tests/pacing.rs
+++ b/crates/directory/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Bulk over a shared link: never more than its part in any second, and never stuck.
+//! Bulk transfers on a shared link stay within their share in every second and always make progress.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 const BYTES_PER_SECOND: f64 = 2_550_000.0;
 const STATE_BYTES: usize = 100_000;
 
-/// 64 gateways that need the whole state at once, over 0.4 of a link of 51 Mbit/s: one after the other,
-/// where sending all at once took a second of the whole link.
+/// 64 gateways need the complete state at once, over 0.4 of a link of 51 Mbit/s, and receive it one after the
+/// other. Sending all states at once took a second of the whole link.
 #[test]
-fn a_crowd_of_newcomers_gets_its_states_one_after_the_other() {
+fn many_new_gateways_receive_their_states_one_after_the_other() {
     let mut pacer = Pacer::new(BYTES_PER_SECOND);
     let mut sent = Vec::new();
     for millisecond in 0..5_000_u64 {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_rest_saves_up_a_tenth_of_a_second_and_no_more() {
+fn idle_time_accumulates_at_most_a_tenth_of_a_second_of_allowance() {
     let mut pacer = Pacer::new(1_000.0);
     assert!(pacer.allows(Duration::from_secs(60)));
     pacer.spend(100);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_message_larger_than_the_allowance_goes_and_is_paid_for_afterwards() {
+fn a_message_larger_than_the_allowance_is_sent_and_overdraws_it() {
     let mut pacer = Pacer::new(1_000.0);
     assert!(pacer.allows(Duration::from_millis(1)));
     pacer.spend(10_000);
@@ -50,9 +50,10 @@
     assert!(pacer.allows(Duration::from_secs(11)));
 }
 
-/// Seconds until so many gateways have a state each, over a link of which 50 MB a second may be used; the daemon looks
-/// every 5 ms while it is behind. `cut_short` is how a round counts that the allowance ended.
-fn seconds_to_feed(gateways: usize, state_bytes: usize, cut_short: RoundEnd) -> f64 {
+/// Seconds until this many gateways have received one state each, with 50 MB per second available. The daemon
+/// polls every 5 ms while gateways lack entries. `exhausted` is the end that is recorded for a round that ran
+/// out of allowance.
+fn seconds_to_feed(gateways: usize, state_bytes: usize, exhausted: RoundEnd) -> f64 {
     let mut pacer = Pacer::new(50_000_000.0);
     let mut rounds = RoundSchedule::default();
     let mut lacking = gateways;
@@ -65,7 +66,7 @@
         let mut end = RoundEnd::Complete;
         while lacking > 0 {
             if !pacer.allows(now) {
-                end = cut_short;
+                end = exhausted;
                 break;
             }
             pacer.spend(state_bytes);
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_replica_feeds_as_fast_as_its_link_may_carry_however_many_follow() {
+fn gateways_are_fed_at_the_full_rate_regardless_of_their_number() {
     for gateways in [30, 100, 300, 1_000] {
         let bytes = gateways * 250_000;
         let least = bytes as f64 / 50_000_000.0;
@@ -90,17 +91,17 @@
 }
 
 #[test]
-fn whole_rounds_leave_a_pause_for_each_gateway() {
+fn a_complete_round_is_followed_by_a_pause_per_gateway() {
     let mut rounds = RoundSchedule::default();
     rounds.record_end(Duration::ZERO, 40, RoundEnd::Complete);
     assert!(!rounds.is_due(Duration::from_millis(59)));
     assert!(rounds.is_due(Duration::from_millis(60)));
 }
 
-/// Why a round that was cut short does not wait for as long as a whole one: 0.76 s for 0.5 s of the link with 100
-/// gateways, 6.8 s for 1.5 s with 300.
+/// A round that ran out of allowance does not wait for the pause of a complete round, because that would take
+/// 0.76 s for 0.5 s of the link with 100 gateways, and 6.8 s for 1.5 s with 300.
 #[test]
-fn a_whole_pause_after_each_part_would_waste_the_link() {
+fn the_pause_of_a_complete_round_after_each_partial_one_would_waste_the_link() {
     let took = |gateways| seconds_to_feed(gateways, 250_000, RoundEnd::Complete);
     assert!((0.7..0.8).contains(&took(100)), "{}", took(100));
     assert!((6.5..7.0).contains(&took(300)), "{}", took(300));
--- a/crates/directory/tests/replication.rs
+++ b/crates/directory/tests/replication.rs
@@ -1,5 +1,5 @@
-//! A group of replicas over simulated disks and a simulated network: what was acknowledged stays,
-//! whatever is lost, and a read is never older than an acknowledgement.
+//! A group of replicas over simulated disks and a simulated network: acknowledged changes survive every
+//! fault, and a read never returns a state older than an acknowledged change.
 
 #[allow(dead_code, reason = "each test file uses a part of the harness")]
 mod cluster;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn three_seeds_found_one_group_and_take_a_change() {
+fn three_seeds_found_one_group_and_commit_a_change() {
     for seed in SEEDS {
         let mut cluster = Cluster::new(seed, 3);
         cluster.run(seconds(3.0));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_fourth_replica_learns_and_does_not_vote() {
+fn a_fourth_replica_becomes_a_learner() {
     let mut cluster = Cluster::new(7, 4);
     cluster.run(seconds(6.0));
     cluster.change(1);
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn what_was_acknowledged_survives_every_fault() {
+fn acknowledged_changes_survive_every_fault() {
     let faults = [
         Fault::KillAll,
         Fault::PowerOffAll,
         Fault::WipeOneWhileOthersLosePower,
         Fault::WipeLeader,
-        Fault::CutLeader,
+        Fault::PartitionLeader,
         Fault::StallLeader,
         Fault::ReplaceOne,
     ];
@@ -54,7 +54,7 @@
             let mut cluster = Cluster::new(seed, 3);
             cluster.run(seconds(3.0));
             cluster.change_until_acknowledged(1);
-            cluster.strike(fault);
+            cluster.inject(fault);
             cluster.run(seconds(9.0));
             cluster.change_until_acknowledged(2);
             cluster.read();
@@ -67,16 +67,16 @@
     }
 }
 
-/// After the final fault of a day, the wait for a leader was the longest part of the outage.
+/// When all replicas restart, waiting for a leader makes up the longest part of the outage.
 #[test]
-fn a_group_that_restarts_whole_has_a_leader_within_half_a_second() {
+fn a_group_whose_replicas_all_restart_has_a_leader_within_half_a_second() {
     for fault in [Fault::KillAll, Fault::PowerOffAll] {
         let mut waits = Vec::new();
         for seed in SEEDS {
             let mut cluster = Cluster::new(seed, 3);
             cluster.run(seconds(3.0));
             cluster.change_until_acknowledged(1);
-            cluster.strike(fault);
+            cluster.inject(fault);
             waits.push(cluster.wait_for_leader_after_restart());
         }
         let late = waits.iter().filter(|wait| **wait > seconds(0.5)).count();
@@ -90,11 +90,11 @@
         let mut cluster = Cluster::new(seed, 3);
         cluster.run(seconds(3.0));
         cluster.change_until_acknowledged(1);
-        cluster.strike(Fault::WipeLeader);
+        cluster.inject(Fault::WipeLeader);
         cluster.run(seconds(6.0));
-        cluster.strike(Fault::WipeLeader);
+        cluster.inject(Fault::WipeLeader);
         cluster.run(seconds(6.0));
-        cluster.strike(Fault::PowerOffAll);
+        cluster.inject(Fault::PowerOffAll);
         cluster.run(seconds(6.0));
         cluster.read();
         cluster.run(seconds(2.0));
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn a_cut_off_leader_answers_no_read() {
+fn a_partitioned_leader_answers_no_read() {
     for seed in SEEDS {
         let mut cluster = Cluster::new(seed, 3);
         cluster.run(seconds(3.0));
         cluster.change_until_acknowledged(1);
         let old = cluster.leader().expect("a leader");
-        cluster.strike(Fault::CutLeader);
+        cluster.inject(Fault::PartitionLeader);
         cluster.read_at(old);
         cluster.run(seconds(2.0));
         cluster.change_until_acknowledged(2);
@@ -125,17 +125,17 @@
         let mut cluster = Cluster::new(seed, 3);
         cluster.run(seconds(3.0));
         cluster.change_until_acknowledged(1);
-        cluster.strike(Fault::FillLeaderDisk);
+        cluster.inject(Fault::FillLeaderDisk);
         cluster.run(seconds(3.0));
         cluster.change_until_acknowledged(2);
         assert_eq!(cluster.acknowledged, vec![1, 2], "seed {seed}");
     }
 }
 
-/// Gateways follow any replica that is fed: one that hears no leader, or lacks what the leader has committed,
-/// must say so within a second.
+/// Gateways follow any replica whose state is fresh. A replica that has no contact with a leader, or has not
+/// applied what the leader committed, must report that within a second.
 #[test]
-fn only_a_replica_that_holds_what_the_leader_committed_feeds_gateways() {
+fn only_an_up_to_date_replica_feeds_gateways() {
     for seed in SEEDS {
         let mut cluster = Cluster::new(seed, 4);
         cluster.run(seconds(4.0));
@@ -143,7 +143,7 @@
         cluster.run(seconds(0.5));
         assert!((0..4).all(|one| cluster.is_fed(one)), "seed {seed}");
         let old = cluster.leader().expect("a leader");
-        cluster.strike(Fault::CutLeader);
+        cluster.inject(Fault::PartitionLeader);
         cluster.run(seconds(1.0));
         assert!(!cluster.is_fed(old), "cut off, seed {seed}");
         cluster.change_until_acknowledged(2);
@@ -161,8 +161,8 @@
     }
 }
 
-/// With a learner on most machines of a large group, a leader that commits hundreds of entries a second would
-/// spend its time on messages to those that count for nothing.
+/// In a large group with a learner on most machines, a leader that commits hundreds of entries per second
+/// would spend its time on messages to members that do not count towards the majority.
 #[test]
 fn a_busy_leader_sends_learners_few_messages_and_they_lag_little() {
     let mut cluster = Cluster::new(5, 6);
@@ -182,15 +182,16 @@
             false => to_learners += sent,
         }
     }
-    // Two voters and three learners beside the leader; a round each 60 ms and news each 25 ms at most.
+    // Two voters and three learners besides the leader; at most one heartbeat every 60 ms and new entries
+    // every 25 ms.
     assert!(to_voters / 2 > 200, "{to_voters}");
     assert!(to_learners / 3 < 90, "{to_learners}");
     cluster.run(Duration::from_millis(200));
     assert!((0..6).all(|number| cluster.has_applied(number, 201)));
 }
 
-/// A configuration of a thousand routes went out to every learner at once: the leader's rounds waited behind it on
-/// its link, and it lost its lead.
+/// A configuration of a thousand routes that is sent to all learners at once delays the leader's heartbeats
+/// on its link, so that it loses the leadership.
 #[test]
 fn a_large_change_goes_to_two_learners_at_a_time() {
     let mut cluster = Cluster::new(5, 10);
@@ -208,31 +209,32 @@
     assert_eq!(cluster.leader(), Some(leader));
 }
 
-/// A leader that was suspended while others elected the next: what it acknowledges by its own lease when it wakes.
+/// Suspends a leader until the others have elected the next one. Returns the number of leaves that it
+/// acknowledges under its own lease when it resumes.
 fn acknowledged_after_suspension(suspension: Fault, seed: u64) -> u32 {
     let mut cluster = Cluster::new(seed, 3);
     cluster.run(seconds(3.0));
     cluster.change_until_acknowledged(1);
     let old = cluster.leader().expect("a leader");
-    cluster.strike(suspension);
+    cluster.inject(suspension);
     cluster.run(seconds(3.0));
     cluster.change_until_acknowledged(2);
-    cluster.wake_with_leave(old);
+    cluster.resume_with_leave(old);
     cluster.leaves_acknowledged
 }
 
 #[test]
-fn a_leader_whose_clock_counts_its_suspension_acknowledges_nothing_when_it_wakes() {
+fn a_leader_whose_clock_includes_its_suspension_acknowledges_nothing_when_it_resumes() {
     for seed in SEEDS {
         let acknowledged = acknowledged_after_suspension(Fault::SuspendLeader, seed);
         assert_eq!(acknowledged, 0, "seed {seed}");
     }
 }
 
-/// Why the programs' clock counts suspensions: with one that does not, the old leader believes its lease.
+/// The process clock must include suspensions: with one that does not, the old leader considers its lease
+/// valid.
 #[test]
-fn a_leader_whose_clock_stood_still_would_believe_its_lease() {
-    let seeds =
-        SEEDS.map(|seed| acknowledged_after_suspension(Fault::SuspendLeaderUncounted, seed));
+fn a_leader_whose_clock_excludes_its_suspension_would_trust_an_expired_lease() {
+    let seeds = SEEDS.map(|seed| acknowledged_after_suspension(Fault::SuspendLeaderAndClock, seed));
     assert!(seeds.sum::<u32>() > 0);
 }
