--- a/crates/directory/src/call.rs
+++ b/crates/directory/src/call.rs
@@ -28,7 +28,7 @@
 
 /// A key range granted to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GrantedRow {
+pub struct GrantedRange {
     /// First key.
     pub from: u32,
     /// Last key, inclusive.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedKeys {
     /// The granted key ranges.
-    pub rows: Vec<GrantedRow>,
+    pub rows: Vec<GrantedRange>,
     /// Duration of the lease.
     pub lease: Duration,
 }
--- a/crates/directory/src/daemon/housekeeping.rs
+++ b/crates/directory/src/daemon/housekeeping.rs
@@ -12,7 +12,7 @@
 use super::opening::modified_at;
 use crate::call::{Reply, UnavailableReason};
 use crate::fleet::{rotate_relays, FleetSummary, ReplicaReport};
-use crate::link::{FromReplica, Head, ToReplica};
+use crate::link::{FromReplica, SourceStatus, ToReplica};
 use crate::node::NodeInput;
 use crate::settings::DirectorySettings;
 
@@ -72,9 +72,9 @@
         metrics.evacuated_zones.set(evacuated as i64);
     }
 
-    pub(super) fn status(&self, now: Duration) -> Head {
+    pub(super) fn status(&self, now: Duration) -> SourceStatus {
         let leads = self.node.holds_leader_lease(now);
-        Head {
+        SourceStatus {
             term: self.node.consensus().term().0,
             leads,
             applied: self.node.applied(),
--- a/crates/directory/src/link.rs
+++ b/crates/directory/src/link.rs
@@ -83,7 +83,7 @@
     /// The leader's answer to a replica's report.
     Fleet(FleetSummary),
     /// Current status of the sender.
-    Head(Head),
+    Head(SourceStatus),
     /// The complete state at a log index, encoded as [`grebepin_catalog::Catalog`].
     Whole {
         /// Log index of the state.
@@ -165,7 +165,7 @@
 
 /// Current status of a replica, or of a gateway that relays the state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct SourceStatus {
     /// Consensus term.
     pub term: u64,
     /// Whether it leads and holds a valid leader lease.
--- a/crates/directory/src/node/leading.rs
+++ b/crates/directory/src/node/leading.rs
@@ -13,7 +13,7 @@
 use super::messages::{CallId, NodeOutput, Notice};
 use super::pending_calls::EntryWaiter;
 use super::Node;
-use crate::call::{Call, GrantedKeys, GrantedRow, ItemDocument, Reply, UnavailableReason};
+use crate::call::{Call, GrantedKeys, GrantedRange, ItemDocument, Reply, UnavailableReason};
 use crate::crashes::CrashTracker;
 
 /// State of an uninterrupted period of leadership.
@@ -284,11 +284,11 @@
 }
 
 fn granted_keys(grant: Grant) -> GrantedKeys {
-    let rows = grant.rows.into_iter().map(|row| GrantedRow {
-        from: row.from,
-        to: row.to,
-        fence: row.fence,
-        handover: row.handover,
+    let rows = grant.rows.into_iter().map(|range| GrantedRange {
+        from: range.from,
+        to: range.to,
+        fence: range.fence,
+        handover: range.handover,
     });
     GrantedKeys {
         rows: rows.collect(),
--- a/crates/gateway/src/follow/link.rs
+++ b/crates/gateway/src/follow/link.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebepin_directory::link::{FromReplica, Head, ToReplica};
+use grebepin_directory::link::{FromReplica, SourceStatus, ToReplica};
 use grebepin_reactor::{encode_frame, take_frame, Connection, ReadOutcome};
 
 /// Bytes taken in before a frame must be whole.
@@ -27,7 +27,7 @@
     pub(super) began: Duration,
     pub(super) heard: Duration,
     /// What a replica last told about itself.
-    pub(super) head: Option<Head>,
+    pub(super) head: Option<SourceStatus>,
     /// When the last report went out; `None` before the first.
     pub(super) reported: Option<Duration>,
 }
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -11,7 +11,7 @@
 use grebepin_catalog::{Catalog, Entry};
 use grebepin_directory::crashes::CrashReport;
 use grebepin_directory::link::{
-    Follow, FromReplica, GatewayReport, Head, PermitRequest, ToReplica,
+    Follow, FromReplica, GatewayReport, PermitRequest, SourceStatus, ToReplica,
 };
 use grebepin_grants::{LoadSample, Permit};
 use grebepin_reactor::{decode_frame, Connection};
@@ -377,7 +377,7 @@
         &mut self,
         now: Duration,
         token: Token,
-        head: Head,
+        head: SourceStatus,
         applied: u64,
         updates: &mut Vec<Update>,
     ) {
--- a/crates/gateway/src/initial_state.rs
+++ b/crates/gateway/src/initial_state.rs
@@ -9,14 +9,16 @@
 //! them knows, and only if it is the newest among them. A voter that missed changes is not enough alone, nor
 //! together with a replica that lost its disk, since that one is no voter.
 
-use grebepin_directory::link::Head;
+use grebepin_directory::link::SourceStatus;
 
 /// Log index of the newest state among the voters in `heads`, which are pairs of a replica's address and the
 /// head that it sent; `None` while these are not a majority. The state may be fetched from any replica that
 /// has applied that index.
-pub fn newest_of_majority<'a>(heads: impl Iterator<Item = (&'a str, &'a Head)>) -> Option<u64> {
-    let voters: Vec<(&str, &Head)> = heads.filter(|(_, head)| head.votes).collect();
-    let is_covered = |head: &Head| {
+pub fn newest_of_majority<'a>(
+    heads: impl Iterator<Item = (&'a str, &'a SourceStatus)>,
+) -> Option<u64> {
+    let voters: Vec<(&str, &SourceStatus)> = heads.filter(|(_, head)| head.votes).collect();
+    let is_covered = |head: &SourceStatus| {
         let members = head.replicas.iter().filter(|member| member.votes);
         let members: Vec<&str> = members.map(|member| member.address.as_str()).collect();
         let asked = members
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::Entry;
-use grebepin_directory::link::{FromReplica, Head, ToReplica};
+use grebepin_directory::link::{FromReplica, SourceStatus, ToReplica};
 use grebepin_reactor::{take_frame, Connection, FrameError, ReadOutcome};
 use grebepin_telemetry::{event, Event};
 use mio::net::TcpListener;
@@ -154,10 +154,10 @@
     }
 
     fn send_head(&mut self, table: &Table, is_fed: bool) -> bool {
-        let head = Head {
+        let head = SourceStatus {
             applied: table.applied(),
             is_fed,
-            ..Head::default()
+            ..SourceStatus::default()
         };
         self.send(&FromReplica::Head(head))
     }
--- a/crates/gateway/tests/initial_state.rs
+++ b/crates/gateway/tests/initial_state.rs
@@ -1,6 +1,6 @@
 //! Which replica's state a gateway takes while it has no contact with a leader.
 
-use grebepin_directory::link::{Head, ReplicaAddress};
+use grebepin_directory::link::{ReplicaAddress, SourceStatus};
 use grebepin_gateway::initial_state::newest_of_majority;
 
 fn voter(address: &str) -> ReplicaAddress {
@@ -11,17 +11,17 @@
     }
 }
 
-fn head(votes: bool, applied: u64, replicas: &[&str]) -> Head {
-    Head {
+fn head(votes: bool, applied: u64, replicas: &[&str]) -> SourceStatus {
+    SourceStatus {
         votes,
         applied,
         replicas: replicas.iter().map(|address| voter(address)).collect(),
-        ..Head::default()
+        ..SourceStatus::default()
     }
 }
 
 /// The replica that holds the newest state of a majority.
-fn chosen(heads: &[(&'static str, Head)]) -> Option<&'static str> {
+fn chosen(heads: &[(&'static str, SourceStatus)]) -> Option<&'static str> {
     let index = newest_of_majority(heads.iter().map(|(address, head)| (*address, head)))?;
     let holder = heads.iter().find(|(_, head)| head.applied == index);
     holder.map(|(address, _)| *address)
@@ -68,7 +68,7 @@
         votes: false,
         ..voter(address)
     };
-    let with_learners = |applied| Head {
+    let with_learners = |applied| SourceStatus {
         replicas: ALL
             .iter()
             .map(|address| voter(address))
