--- a/crates/directory/src/pacing.rs
+++ b/crates/directory/src/pacing.rs
@@ -42,7 +42,8 @@
     }
 }
 
-/// Pause after a complete round, per following gateway: each round writes to every one of them.
+/// Pause after a complete round, per gateway: each round may write to every one of them. The daemon counts each
+/// inbound link as a gateway.
 const PAUSE_PER_GATEWAY: Duration = Duration::from_micros(1_500);
 
 /// Pause before a round continues that ran out of allowance; the allowance of 10 ms accumulates in the
