--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -90,15 +90,15 @@
     }
 
     /// The latest life of a server of which any is known.
-    pub fn latest_life(&self, id: &InstanceId) -> Option<&Instance> {
+    pub fn latest_incarnation(&self, id: &InstanceId) -> Option<&Instance> {
         let lives = self.instances.range(id.all_lives());
         lives.last().map(|(_, instance)| instance)
     }
 
     /// Whether a later life of the same server is known, so that this one has ended.
     pub fn is_superseded(&self, id: &InstanceId) -> bool {
-        let latest = self.latest_life(id);
-        latest.is_some_and(|latest| id.is_earlier_life_of(&latest.id))
+        let latest = self.latest_incarnation(id);
+        latest.is_some_and(|latest| id.is_earlier_incarnation_of(&latest.id))
     }
 
     /// Whether a server is known and has not ended.
@@ -279,7 +279,7 @@
     /// Ends the lives of a server before `id`; those that had not ended.
     fn end_earlier_lives(&mut self, id: &InstanceId) -> Vec<InstanceId> {
         let lives = self.instances.range(id.all_lives());
-        let earlier = lives.filter(|(life, _)| life.is_earlier_life_of(id));
+        let earlier = lives.filter(|(life, _)| life.is_earlier_incarnation_of(id));
         let earlier: Vec<InstanceId> = earlier.map(|(life, _)| life.clone()).collect();
         let ended = earlier.into_iter();
         ended
--- a/crates/catalog/src/instance.rs
+++ b/crates/catalog/src/instance.rs
@@ -38,12 +38,12 @@
     }
 
     /// Whether the server stated when it started.
-    pub fn states_start(&self) -> bool {
+    pub fn has_start_time(&self) -> bool {
         self.started_ms > 0
     }
 
     /// Whether this is an earlier life of the server whose life `other` is.
-    pub fn is_earlier_life_of(&self, other: &Self) -> bool {
+    pub fn is_earlier_incarnation_of(&self, other: &Self) -> bool {
         self.name == other.name && self.started_ms < other.started_ms
     }
 
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -21,6 +21,6 @@
     Version, WeightedService,
 };
 pub use items::{Held, InvalidChange, Items};
-pub use ownership::{shard_of_key, KeyRow, Shard, ShardOwnership, KEYS, KEYS_PER_SHARD, SHARDS};
+pub use ownership::{shard_of_key, KeyRange, Shard, ShardOwnership, KEYS, KEYS_PER_SHARD, SHARDS};
 pub use quarantine::{Fingerprint, Quarantine, QuarantineChange};
 pub use routes::RouteIndex;
--- a/crates/catalog/src/ownership.rs
+++ b/crates/catalog/src/ownership.rs
@@ -37,7 +37,7 @@
 
 /// Neighbouring keys with one owner, fence and handover.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyRow {
+pub struct KeyRange {
     /// First key.
     pub from: u32,
     /// Last key, inclusive.
@@ -159,7 +159,7 @@
     }
 
     /// How many shards a server owns.
-    pub fn count_of(&self, id: &InstanceId) -> usize {
+    pub fn owned_count(&self, id: &InstanceId) -> usize {
         self.by_owner.get(id).map_or(0, BTreeSet::len)
     }
 
@@ -232,8 +232,8 @@
     }
 
     /// Rows of the given shards, which stand in the order of their keys.
-    pub fn rows(&self, shards: impl Iterator<Item = usize>) -> Vec<KeyRow> {
-        let mut rows: Vec<KeyRow> = Vec::new();
+    pub fn key_ranges(&self, shards: impl Iterator<Item = usize>) -> Vec<KeyRange> {
+        let mut rows: Vec<KeyRange> = Vec::new();
         for number in shards {
             let shard = &self.shards[number];
             let from = number as u32 * KEYS_PER_SHARD;
@@ -246,7 +246,7 @@
                 {
                     row.to = to;
                 }
-                _ => rows.push(KeyRow {
+                _ => rows.push(KeyRange {
                     from,
                     to,
                     fence: shard.fence,
--- a/crates/catalog/tests/ownership.rs
+++ b/crates/catalog/tests/ownership.rs
@@ -62,7 +62,7 @@
     let mut ownership = ShardOwnership::default();
     ownership.assign(&id("a"), &[0, 1, 3]);
     let owned: Vec<usize> = ownership.owned_by(&id("a")).collect();
-    let rows = ownership.rows(owned.into_iter());
+    let rows = ownership.key_ranges(owned.into_iter());
     let bounds: Vec<(u32, u32)> = rows.iter().map(|row| (row.from, row.to)).collect();
     assert_eq!(bounds, vec![(0, 31), (48, 63)]);
 }
@@ -107,7 +107,7 @@
     let gone = catalog.instance(&first.id).map(|one| one.state);
     assert_eq!(gone, Some(InstanceState::Gone));
     assert_eq!(
-        catalog.latest_life(&first.id).map(|one| &one.id),
+        catalog.latest_incarnation(&first.id).map(|one| &one.id),
         Some(&second.id)
     );
 }
--- a/crates/directory/src/node/leading.rs
+++ b/crates/directory/src/node/leading.rs
@@ -181,10 +181,10 @@
 
     /// The life that a server means by its leave: the latest one known when it does not state its start.
     fn life_that_leaves(&self, server: InstanceId) -> InstanceId {
-        if server.states_start() {
+        if server.has_start_time() {
             return server;
         }
-        let latest = self.catalog.latest_life(&server);
+        let latest = self.catalog.latest_incarnation(&server);
         latest.map_or(server, |latest| latest.id.clone())
     }
 
--- a/crates/grants/src/beat.rs
+++ b/crates/grants/src/beat.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebepin_catalog::{InstanceId, KeyRow, KEYS_PER_SHARD, SHARDS};
+use grebepin_catalog::{InstanceId, KeyRange, KEYS_PER_SHARD, SHARDS};
 use serde::{Deserialize, Serialize};
 
 /// Keys that a server reports to hold.
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The keys.
-    pub rows: Vec<KeyRow>,
+    pub rows: Vec<KeyRange>,
     /// Length of the lease.
     pub lease: Duration,
 }
--- a/crates/grants/src/coordinator/ending.rs
+++ b/crates/grants/src/coordinator/ending.rs
@@ -72,7 +72,7 @@
             return;
         }
         for (service, ownership) in catalog.all_ownership() {
-            if ownership.count_of(id) == 0 {
+            if ownership.owned_count(id) == 0 {
                 continue;
             }
             self.withhold(now, id, ownership.owned_by(id));
@@ -104,7 +104,7 @@
             }
             return;
         }
-        let owns = |(_, ownership): (&String, &ShardOwnership)| ownership.count_of(id) > 0;
+        let owns = |(_, ownership): (&String, &ShardOwnership)| ownership.owned_count(id) > 0;
         if !catalog.all_ownership().any(owns) {
             self.servers.drop_from_order(id);
         }
--- a/crates/grants/src/division.rs
+++ b/crates/grants/src/division.rs
@@ -67,7 +67,7 @@
         room: f64,
         overdue: bool,
     ) -> Demand {
-        let owned = ownership.count_of(id);
+        let owned = ownership.owned_count(id);
         Demand {
             total: SHARDS,
             owned,
@@ -82,5 +82,5 @@
 
 /// Rows that list a server's shards.
 fn rows_of(ownership: &ShardOwnership, id: &InstanceId) -> usize {
-    ownership.rows(ownership.owned_by(id)).len()
+    ownership.key_ranges(ownership.owned_by(id)).len()
 }
--- a/crates/grants/src/rows.rs
+++ b/crates/grants/src/rows.rs
@@ -1,6 +1,6 @@
 //! The rows of an answer to a heartbeat, and what it has room for.
 
-use grebepin_catalog::{InstanceId, KeyRow, ShardOwnership, KEYS_PER_SHARD};
+use grebepin_catalog::{InstanceId, KeyRange, ShardOwnership, KEYS_PER_SHARD};
 
 use crate::beat::Beat;
 use crate::placement::MAXIMUM_ROWS;
@@ -16,17 +16,17 @@
     ownership: &ShardOwnership,
     server: &Server,
     beat: &Beat,
-) -> Vec<KeyRow> {
+) -> Vec<KeyRange> {
     let granted = ownership
         .owned_by(&beat.id)
         .filter(|shard| !server.releasing.contains_key(shard));
     let (taken, new): (Vec<usize>, Vec<usize>) =
         granted.partition(|shard| beat.fence_of(*shard) == Some(ownership.shards()[*shard].fence));
-    let mut rows = ownership.rows(taken.into_iter());
+    let mut rows = ownership.key_ranges(taken.into_iter());
     for row in &mut rows {
         row.handover.clear();
     }
-    rows.extend(ownership.rows(new.into_iter()));
+    rows.extend(ownership.key_ranges(new.into_iter()));
     fit_into_answer(&mut rows);
     rows
 }
@@ -42,7 +42,7 @@
         .owned_by(id)
         .filter(|shard| !server.releasing.contains_key(shard))
         .collect();
-    let rows = ownership.rows(kept.iter().copied());
+    let rows = ownership.key_ranges(kept.iter().copied());
     let Some(first_surplus) = rows.get(MAXIMUM_ROWS) else {
         return;
     };
@@ -55,7 +55,7 @@
 
 /// Keeps the rows within what an answer may hold: a handover that is left out only makes the keys
 /// slow for a while.
-fn fit_into_answer(rows: &mut [KeyRow]) {
+fn fit_into_answer(rows: &mut [KeyRange]) {
     let mut left = ANSWER_BYTES.saturating_sub(rows.len() * ROW_BYTES);
     for row in rows {
         match row.handover.len() <= left {
--- a/crates/grants/tests/division/mod.rs
+++ b/crates/grants/tests/division/mod.rs
@@ -91,7 +91,7 @@
 pub fn owned(catalog: &Catalog, count: usize) -> Vec<usize> {
     let ownership = catalog.ownership(SERVICE).expect("assigned");
     (0..count)
-        .map(|number| ownership.count_of(&id(number)))
+        .map(|number| ownership.owned_count(&id(number)))
         .collect()
 }
 
--- a/crates/grants/tests/restarts.rs
+++ b/crates/grants/tests/restarts.rs
@@ -61,7 +61,7 @@
 
     fn owned_by(&self, id: &InstanceId) -> usize {
         let ownership = self.catalog.ownership(SERVICE);
-        ownership.map_or(0, |ownership| ownership.count_of(id))
+        ownership.map_or(0, |ownership| ownership.owned_count(id))
     }
 
     fn state_of(&self, id: &InstanceId) -> Option<InstanceState> {
