--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The whole replicated state and how commands change it.
+//! The replicated state and how commands change it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,51 +11,51 @@
 use crate::ownership::ShardOwnership;
 use crate::quarantine::{Quarantine, QuarantineChange};
 
-/// Servers that ended and are still remembered, so that a late heartbeat can't bring one back.
-const REMEMBERED_GONE: usize = 4_096;
+/// Maximum number of ended servers that are kept, so that a late heartbeat does not register one again.
+const MAX_GONE_INSTANCES: usize = 4_096;
 
-/// What a command changed.
+/// Changes made by one command.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
-    /// Items that changed.
+    /// Keys of the items set or removed.
     pub items: Vec<ItemKey>,
-    /// Servers that changed.
+    /// Servers that were registered, updated or moved to another state.
     pub instances: Vec<InstanceId>,
-    /// Shards that a server lost or got.
+    /// Shards that were assigned or freed.
     pub shards: Vec<ShardChange>,
-    /// Why a change of items was refused.
+    /// Why an item change was refused; `None` unless it was.
     pub refused: Option<InvalidChange>,
-    /// A zone whose evacuation began or ended.
+    /// Evacuation that started or ended.
     pub evacuation: Option<EvacuationChange>,
-    /// Requests that are quarantined from now on, or no longer.
+    /// Requests added to or removed from the quarantine.
     pub quarantine: Vec<QuarantineChange>,
 }
 
-/// A zone whose evacuation began or ended.
+/// Start or end of a zone's evacuation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationChange {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether it is evacuated now.
+    /// True if the evacuation started, false if it ended.
     pub evacuated: bool,
 }
 
-/// Shards that a server lost or got.
+/// Shards that were assigned to a server or freed from it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardChange {
-    /// The service.
+    /// Name of the sharded service.
     pub service: String,
-    /// The server.
+    /// The server that gained or lost the shards.
     pub id: InstanceId,
-    /// Whether the server got them.
+    /// True if the shards were assigned, false if they were freed.
     pub assigned: bool,
-    /// The shards.
+    /// Numbers of the shards.
     pub shards: Vec<u16>,
-    /// Highest fence of the service afterwards.
+    /// Highest fence of the service after the command.
     pub fence: u64,
 }
 
-/// The replicated state.
+/// The replicated state machine: configuration items, servers, shard owners, evacuations and quarantine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
     items: Items,
@@ -69,93 +69,92 @@
 }
 
 impl Catalog {
-    /// The configuration's items.
+    /// Returns the configuration items.
     pub fn items(&self) -> &Items {
         &self.items
     }
 
-    /// Every server known, ended ones included.
+    /// Iterates over all known servers, including ended ones.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.instances.values()
     }
 
-    /// How many servers are known, ended ones included.
+    /// Returns the number of known servers, including ended ones.
     pub fn instance_count(&self) -> usize {
         self.instances.len()
     }
 
-    /// One server.
+    /// Returns a server; `None` if it is unknown or ended too long ago to be kept.
     pub fn instance(&self, id: &InstanceId) -> Option<&Instance> {
         self.instances.get(id)
     }
 
-    /// The latest life of a server of which any is known.
+    /// Returns the latest known incarnation of the server that `id` names; `None` if none is known.
     pub fn latest_incarnation(&self, id: &InstanceId) -> Option<&Instance> {
-        let lives = self.instances.range(id.all_lives());
-        lives.last().map(|(_, instance)| instance)
+        let incarnations = self.instances.range(id.all_incarnations());
+        incarnations.last().map(|(_, instance)| instance)
     }
 
-    /// Whether a later life of the same server is known, so that this one has ended.
+    /// Returns whether a later incarnation of the same server is known, which means that this one has ended.
     pub fn is_superseded(&self, id: &InstanceId) -> bool {
         let latest = self.latest_incarnation(id);
         latest.is_some_and(|latest| id.is_earlier_incarnation_of(&latest.id))
     }
 
-    /// Whether a server is known and has not ended.
+    /// Returns whether a server is known and has not ended.
     pub fn is_live(&self, id: &InstanceId) -> bool {
         let known = self.instance(id);
         known.is_some_and(|known| known.state != InstanceState::Gone)
     }
 
-    /// Whether a server is known to have ended: it left, fell silent, or started anew.
+    /// Returns whether a server is known to have ended: it left, its heartbeats stopped, or it restarted.
     pub fn has_ended(&self, id: &InstanceId) -> bool {
         let known = self.instance(id);
         known.is_some_and(|known| known.state == InstanceState::Gone) || self.is_superseded(id)
     }
 
-    /// Requests that crash the servers which run them.
+    /// Returns the quarantined requests.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
 
-    /// Zones whose servers get no requests and own no shards.
+    /// Returns the evacuated zones, whose servers get no requests and own no shards.
     pub fn evacuated_zones(&self) -> &BTreeSet<String> {
         &self.evacuated_zones
     }
 
-    /// Whether a server may get new requests and shards: it is ready and its zone is not evacuated.
+    /// Returns whether a server may get new requests and shards: it is ready and its zone is not evacuated.
     pub fn is_usable(&self, instance: &Instance) -> bool {
         instance.state == InstanceState::Ready && !self.evacuated_zones.contains(&instance.zone)
     }
 
-    /// Requests a second that a server of a service bears while it warms up; `None` when warming up bounds
-    /// nothing there.
+    /// Returns the requests per second that a server of a service handles while it warms up; `None` if the
+    /// service is unknown or warming up does not limit its servers.
     pub fn warmup_rate(&self, service: &str) -> Option<f64> {
         self.service(service)?.warmup_rate
     }
 
-    /// Whether the keys of a service are owned by shard.
+    /// Returns whether a service is sharded, so that its keys have exclusive owners.
     pub fn is_sharded(&self, service: &str) -> bool {
         self.service(service).is_some_and(|service| service.sharded)
     }
 
-    /// Configuration of a service.
+    /// Returns the active configuration of a service.
     pub fn service(&self, service: &str) -> Option<&Service> {
         self.items.service(service)
     }
 
-    /// Owners of a service's shards; `None` before the first was assigned.
+    /// Returns the owners of a service's shards; `None` before the first command that assigned or freed any.
     pub fn ownership(&self, service: &str) -> Option<&ShardOwnership> {
         self.ownership.get(service)
     }
 
-    /// Owners of the shards of every service that has any.
+    /// Iterates over the services that have shard ownership, by name.
     pub fn all_ownership(&self) -> impl Iterator<Item = (&String, &ShardOwnership)> {
         self.ownership.iter()
     }
 
-    /// The same without the operators' own texts and owners' handovers, for readers that never give
-    /// them on.
+    /// Returns a copy without item documents and handovers, for readers that never pass them on.
     pub fn without_documents(&self) -> Self {
         let mut catalog = self.clone();
         catalog.items.drop_documents();
@@ -165,7 +164,8 @@
         catalog
     }
 
-    /// Applies one command.
+    /// Applies one command and returns what it changed. Applying the same commands in the same order to equal
+    /// states gives equal states.
     pub fn apply(&mut self, command: &Command) -> Effects {
         let mut effects = Effects::default();
         match command {
@@ -203,12 +203,12 @@
                     return effects;
                 }
                 let ownership = self.ownership.entry(service.clone()).or_default();
-                let given = ownership.assign(id, shards);
+                let assigned = ownership.assign(id, shards);
                 effects.shards.push(ShardChange {
                     service: service.clone(),
                     id: id.clone(),
                     assigned: true,
-                    shards: given,
+                    shards: assigned,
                     fence: ownership.last_fence(),
                 });
             }
@@ -228,7 +228,7 @@
         effects
     }
 
-    /// Begins or ends the evacuation of a zone; whether anything changed.
+    /// Starts or ends the evacuation of a zone. Returns whether anything changed.
     fn set_evacuation(&mut self, zone: &str, evacuated: bool) -> bool {
         if evacuated {
             return self.evacuated_zones.insert(zone.to_owned());
@@ -240,11 +240,14 @@
         was_evacuated
     }
 
-    /// Servers that got nothing for a while may have turned cold since their last heartbeat: each counts as
-    /// cold until its next one says otherwise.
+    /// Marks the servers of a zone as cold. They got no requests during the evacuation and may have become
+    /// cold since their last heartbeat; the next heartbeat of each server reports its actual state.
     fn assume_cold(&mut self, zone: &str) {
         let items = &self.items;
-        let in_zone = self.instances.values_mut().filter(|one| one.zone == zone);
+        let in_zone = self
+            .instances
+            .values_mut()
+            .filter(|instance| instance.zone == zone);
         for instance in in_zone {
             let service = items.service(&instance.service);
             if service.is_some_and(|service| service.warmup_rate.is_some()) {
@@ -253,8 +256,8 @@
         }
     }
 
-    /// Takes in a server and ends its earlier lives; those that changed. Its state never goes back, and nothing
-    /// is heard of a life that another followed.
+    /// Adds or updates a server, ends its earlier incarnations and returns the servers that changed. The
+    /// state of a server never goes back. Registrations of ended or superseded incarnations are ignored.
     fn register(&mut self, instance: &Instance) -> Vec<InstanceId> {
         if self.has_ended(&instance.id) {
             return Vec::new();
@@ -269,24 +272,25 @@
         }
         let mut changed = match known {
             Some(_) => Vec::new(),
-            None => self.end_earlier_lives(&instance.id),
+            None => self.end_earlier_incarnations(&instance.id),
         };
         changed.push(next.id.clone());
         self.instances.insert(next.id.clone(), next);
         changed
     }
 
-    /// Ends the lives of a server before `id`; those that had not ended.
-    fn end_earlier_lives(&mut self, id: &InstanceId) -> Vec<InstanceId> {
-        let lives = self.instances.range(id.all_lives());
-        let earlier = lives.filter(|(life, _)| life.is_earlier_incarnation_of(id));
-        let earlier: Vec<InstanceId> = earlier.map(|(life, _)| life.clone()).collect();
+    /// Ends the incarnations of a server before `id` and returns those that had not ended yet.
+    fn end_earlier_incarnations(&mut self, id: &InstanceId) -> Vec<InstanceId> {
+        let incarnations = self.instances.range(id.all_incarnations());
+        let earlier = incarnations.filter(|(other, _)| other.is_earlier_incarnation_of(id));
+        let earlier: Vec<InstanceId> = earlier.map(|(other, _)| other.clone()).collect();
         let ended = earlier.into_iter();
         ended
-            .filter(|life| self.set_state(life, InstanceState::Gone))
+            .filter(|other| self.set_state(other, InstanceState::Gone))
             .collect()
     }
 
+    /// Advances a server to a later state. Returns whether its state changed.
     fn set_state(&mut self, id: &InstanceId, state: InstanceState) -> bool {
         let Some(instance) = self.instances.get_mut(id) else {
             return false;
@@ -297,13 +301,13 @@
         instance.state = state;
         if state == InstanceState::Gone {
             self.gone_order.push(id.clone());
-            self.forget_oldest_gone();
+            self.remove_oldest_gone();
         }
         true
     }
 
-    fn forget_oldest_gone(&mut self) {
-        if self.gone_order.len() > REMEMBERED_GONE {
+    fn remove_oldest_gone(&mut self) {
+        if self.gone_order.len() > MAX_GONE_INSTANCES {
             let oldest = self.gone_order.remove(0);
             self.instances.remove(&oldest);
         }
--- a/crates/catalog/src/command.rs
+++ b/crates/catalog/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log.
+//! Commands and entries of the replicated log.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,74 +6,76 @@
 use crate::item::ItemChange;
 use crate::quarantine::Fingerprint;
 
-/// A shard that its owner no longer holds.
+/// A shard to take from its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreedShard {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u16,
-    /// Fence under which it was held.
+    /// Fence under which the owner held the shard.
     pub fence: u64,
-    /// What the next owner is given so that it starts warm; empty without one.
+    /// Warm-up data from the owner for the next one; empty if there is none.
     pub handover: String,
 }
 
-/// One change of the replicated state.
+/// One change to the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Changes configuration items.
+    /// Sets and removes configuration items.
     ChangeItems(ItemChange),
-    /// Takes in a server, or its new particulars.
+    /// Adds a server or updates its attributes.
     Register(Instance),
-    /// Moves a server on to a later state.
+    /// Advances a server to a later state. States never go back.
     SetState {
-        /// The server.
+        /// Server whose state changes.
         id: InstanceId,
-        /// Its new state.
+        /// State to set; ignored unless it is later than the current one.
         state: InstanceState,
     },
-    /// Takes shards from a server that provably holds them no longer.
+    /// Takes shards from a server that provably no longer holds them.
     FreeShards {
-        /// The sharded service.
+        /// Name of the sharded service.
         service: String,
-        /// The owner.
+        /// Server that owned the shards.
         id: InstanceId,
-        /// The shards; one that the owner holds under another fence by now is left alone.
+        /// Shards to free; a shard that the server now holds under another fence is skipped.
         shards: Vec<FreedShard>,
     },
-    /// Gives shards without an owner to a server.
+    /// Assigns unowned shards to a server.
     AssignShards {
-        /// The sharded service.
+        /// Name of the sharded service.
         service: String,
-        /// The new owner.
+        /// Server that becomes the owner.
         id: InstanceId,
-        /// The shards.
+        /// Numbers of the shards; a shard that has an owner is skipped.
         shards: Vec<u16>,
     },
-    /// Evacuates a zone, so that its servers get no requests and own no shards, or ends that.
+    /// Starts or ends the evacuation of a zone. Servers in an evacuated zone get no requests and own no
+    /// shards.
     SetEvacuation {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether it is evacuated from now on.
+        /// True to start the evacuation, false to end it.
         evacuated: bool,
     },
-    /// Keeps a request that crashes its servers from all of them, or no longer.
+    /// Adds a request that crashes servers to the quarantine, or removes it. Quarantined requests are sent to
+    /// no server.
     SetQuarantine {
-        /// The request.
+        /// Identifies the request.
         fingerprint: Fingerprint,
-        /// Whether it is quarantined from now on.
+        /// True to add the request, false to remove it.
         quarantined: bool,
     },
 }
 
-/// What one log entry holds: commands that are applied together, in order.
+/// Payload of one log entry: commands that are applied together, in order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The commands.
+    /// Commands in the order of application.
     pub commands: Vec<Command>,
 }
 
 impl Entry {
-    /// The same without the operators' own texts, for readers that never give them back.
+    /// Returns a copy without the item documents, for readers that never return them to an operator.
     pub fn without_documents(&self) -> Self {
         let commands = self.commands.iter().map(|command| match command {
             Command::ChangeItems(change) => Command::ChangeItems(change.without_documents()),
--- a/crates/catalog/src/instance.rs
+++ b/crates/catalog/src/instance.rs
@@ -1,4 +1,4 @@
-//! Servers that registered themselves.
+//! Identity, state and attributes of registered servers.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,25 +6,26 @@
 use serde::de::{self, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// One life of a server process: the name that the server goes by and when this life of it started.
+/// Identifies one incarnation of a server: the server's name and the start time of the process.
 ///
-/// A server may restart under its old name. The start tells its lives apart, so that nothing learnt of one life,
-/// granted to it or said by it is taken for the other's. A server that never states its start takes a new name
-/// at each start.
+/// A server may restart under the same name. The start time distinguishes its incarnations, so that what is
+/// known about one, granted to it or received from it is never attributed to another. A server that does not
+/// report a start time must use a new name for each start.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
     name: Arc<str>,
-    /// Unix milliseconds by the server's clock; 0 when it was not stated.
+    /// Unix time in milliseconds on the server's clock; 0 if the server did not report it.
     started_ms: u64,
 }
 
 impl InstanceId {
-    /// A server that does not state when it started.
+    /// Creates the identity of a server that does not report its start time.
     pub fn new(name: &str) -> Self {
         Self::started_at(name, 0)
     }
 
-    /// The life of a server that started at `started_ms`, in Unix milliseconds by its own clock.
+    /// Creates the identity of the incarnation that started at `started_ms`, a Unix time in milliseconds on
+    /// the server's clock. 0 means that the start time is not reported.
     pub fn started_at(name: &str, started_ms: u64) -> Self {
         Self {
             name: Arc::from(name),
@@ -32,32 +33,32 @@
         }
     }
 
-    /// The name, without the start.
+    /// Returns the server's name, without the start time.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Whether the server stated when it started.
+    /// Returns whether the server reported its start time.
     pub fn has_start_time(&self) -> bool {
         self.started_ms > 0
     }
 
-    /// Whether this is an earlier life of the server whose life `other` is.
+    /// Returns whether this is an earlier incarnation of the same server as `other`.
     pub fn is_earlier_incarnation_of(&self, other: &Self) -> bool {
         self.name == other.name && self.started_ms < other.started_ms
     }
 
-    /// Every life of the same server, as bounds of a range in the order of identities.
-    pub(crate) fn all_lives(&self) -> std::ops::RangeInclusive<Self> {
-        let life = |started_ms| Self {
+    /// Returns the range of identities that covers every incarnation of the same server.
+    pub(crate) fn all_incarnations(&self) -> std::ops::RangeInclusive<Self> {
+        let incarnation = |started_ms| Self {
             name: Arc::clone(&self.name),
             started_ms,
         };
-        life(0)..=life(u64::MAX)
+        incarnation(0)..=incarnation(u64::MAX)
     }
 }
 
-/// As logs show it: the name, and the start where it was stated.
+/// Writes the name, followed by `@` and the start time if the server reported one.
 impl fmt::Display for InstanceId {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(&self.name)?;
@@ -74,7 +75,8 @@
     }
 }
 
-/// Written as a name alone where no start was stated, as before starts were known; else as name and start.
+/// Writes the name alone if there is no start time, and a sequence of name and start time otherwise. The
+/// first form is that of logs and messages from versions without start times.
 impl Serialize for InstanceId {
     fn serialize<S: Serializer>(&self, out: S) -> Result<S::Ok, S::Error> {
         match self.started_ms {
@@ -90,14 +92,14 @@
     }
 }
 
-/// Reads both forms without a copy in between: a whole state holds 10,000 of them.
+/// Reads both forms without an intermediate copy, since a catalog may hold 10,000 identities.
 struct InstanceIdVisitor;
 
 impl<'de> Visitor<'de> for InstanceIdVisitor {
     type Value = InstanceId;
 
     fn expecting(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str("a server's name, or its name and start")
+        out.write_str("a server name, or a sequence of server name and start time")
     }
 
     fn visit_str<E: de::Error>(self, name: &str) -> Result<InstanceId, E> {
@@ -112,33 +114,34 @@
     }
 }
 
-/// What a server may be used for.
+/// Lifecycle state of a server. The order of the variants is the order in which states may follow each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum InstanceState {
-    /// Takes new requests.
+    /// Accepts new requests.
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// Completes the requests it has and accepts no new ones.
     Draining,
-    /// Ended; it never comes back under this identity.
+    /// Ended. This identity never becomes active again.
     Gone,
 }
 
 /// One registered server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its identity.
+    /// Name and start time of the server.
     pub id: InstanceId,
-    /// Service it serves.
+    /// Name of the service that it belongs to.
     pub service: String,
     /// Address for requests, `IP:PORT`.
     pub address: String,
-    /// Zone it runs in.
+    /// Zone that it runs in.
     pub zone: String,
-    /// Requests it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// What it may be used for; never goes back.
+    /// Lifecycle state; never goes back to an earlier one.
     pub state: InstanceState,
-    /// Whether it warms up and takes few requests, as it last told, or as is assumed until it tells.
+    /// Whether the server is warming up and can handle few requests. Taken from its last heartbeat, or
+    /// assumed after the evacuation of its zone until the next heartbeat.
     #[serde(default)]
     pub is_cold: bool,
 }
--- a/crates/catalog/src/item.rs
+++ b/crates/catalog/src/item.rs
@@ -1,4 +1,4 @@
-//! Configuration items: routes, services and limits, each with a version of its own.
+//! Types of the configuration items: routes, services and limits. Each item has its own version.
 
 use std::time::Duration;
 
@@ -10,104 +10,104 @@
 )]
 pub struct Version(pub u64);
 
-/// What an item configures.
+/// Kind of a configuration item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemKind {
-    /// The one item that bounds what clients may send.
+    /// Limits on what clients may send; a single item.
     Limits,
-    /// A service and how its servers are used.
+    /// Properties of a service's servers.
     Service,
-    /// A host and path prefix, and where its requests go.
+    /// Targets of the requests for a host and path prefix.
     Route,
 }
 
-/// Names one item.
+/// Identifies one item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ItemKey {
-    /// What the item configures.
+    /// Kind of the item.
     pub kind: ItemKind,
-    /// Name among the items of its kind; empty for the limits.
+    /// Name, unique among the items of its kind; empty for the limits.
     pub name: String,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Safe,
-    /// Runs at most once for each attempt of the client.
+    /// Is executed at most once for each attempt of the client.
     Unsafe,
 }
 
-/// A service among which a route's requests are divided.
+/// Target service of a route, with its share of the requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Share, relative to the other weights of the route.
+    /// Share of the requests, relative to the other weights of the route.
     pub weight: u32,
 }
 
-/// Where the requests of a host and path prefix go.
+/// Targets and properties of the requests for a host and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Host name, as clients send it, without a port.
+    /// Host name that clients send, without a port.
     pub host: String,
-    /// Prefix of the path, beginning with a slash.
+    /// Prefix of the path; begins with a slash.
     pub prefix: String,
-    /// Whether its requests may be repeated.
+    /// Whether requests may be executed more than once.
     pub kind: RequestKind,
-    /// Time within which an answer is worth most.
+    /// Latency within which a response has its full value to the client.
     pub target_latency: Duration,
-    /// Longest time a request is held.
+    /// Maximum time that a gateway holds a request; above 0 and at most 600 s.
     pub timeout: Duration,
-    /// Most servers that one request is sent to.
+    /// Maximum number of servers that one request is sent to.
     pub maximum_attempts: u32,
-    /// Rank among routes; 0 is the highest.
+    /// Priority among routes; 0 is the highest.
     pub priority: u32,
-    /// Services and their weights; one entry when the requests are not divided.
+    /// Target services with their weights; a single entry if the requests are not split.
     pub targets: Vec<WeightedService>,
 }
 
-/// A service and how its servers are used.
+/// Properties of a service's servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Connections that one server takes from all callers together.
+    /// Maximum number of connections to one server, summed over all callers.
     pub maximum_connections: u32,
-    /// Whether its keys are owned exclusively, by shard.
+    /// Whether keys have exclusive owners, assigned by shard.
     pub sharded: bool,
-    /// Requests a second that a server bears from all callers together while it warms up; `None` when it
-    /// bears as many as ever.
+    /// Requests per second, summed over all callers, that a server handles while it warms up; `None` if
+    /// warming up does not limit it.
     #[serde(default)]
     pub warmup_rate: Option<f64>,
 }
 
-/// Bounds on what clients may send.
+/// Limits on what clients may send.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's header section, in bytes.
     pub header_bytes: u64,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Time in which a request's head must be whole.
+    /// Time within which the complete header section must be received.
     pub header_timeout: Duration,
-    /// Time a connection may rest between two requests.
+    /// Maximum idle time of a connection between two requests.
     pub idle_timeout: Duration,
 }
 
-/// What an item says.
+/// Content of an item.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ItemContent {
-    /// Bounds on clients.
+    /// Limits on clients.
     Limits(Limits),
-    /// A service.
+    /// Properties of a service.
     Service(Service),
-    /// A route.
+    /// Targets and properties of a route.
     Route(Route),
 }
 
 impl ItemContent {
-    /// What the content configures.
+    /// Returns the kind of item that has this content.
     pub fn kind(&self) -> ItemKind {
         match self {
             Self::Limits(_) => ItemKind::Limits,
@@ -117,21 +117,21 @@
     }
 }
 
-/// One item of the configuration.
+/// One configuration item.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
-    /// Name among the items of its kind.
+    /// Name, unique among the items of its kind; empty for the limits.
     pub name: String,
-    /// Version of this content.
+    /// Version of the content.
     pub version: Version,
-    /// What it says.
+    /// Parsed content.
     pub content: ItemContent,
-    /// The operator's own text of the item, given back as it was sent.
+    /// Source text that the operator submitted, returned unchanged when the item is read.
     pub document: String,
 }
 
 impl Item {
-    /// Key under which the item is held.
+    /// Returns the key that the item is stored under.
     pub fn key(&self) -> ItemKey {
         ItemKey {
             kind: self.content.kind(),
@@ -140,26 +140,26 @@
     }
 }
 
-/// Takes an item out of the configuration.
+/// Removal of an item from the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Removal {
-    /// The item.
+    /// Key of the item to remove.
     pub key: ItemKey,
-    /// Version of the removal.
+    /// Version of the removal; it takes effect only if it is above the stored version.
     pub version: Version,
 }
 
-/// A change of several items, which is taken whole or not at all.
+/// A change to several items. It is applied as a whole or refused as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ItemChange {
     /// Items to set.
     pub upserts: Vec<Item>,
-    /// Items to take out.
+    /// Items to remove.
     pub removals: Vec<Removal>,
 }
 
 impl ItemChange {
-    /// The same without the operators' own texts, for readers that never give them back.
+    /// Returns a copy without the item documents, for readers that never return them to an operator.
     pub fn without_documents(&self) -> Self {
         let mut change = self.clone();
         for item in &mut change.upserts {
--- a/crates/catalog/src/items.rs
+++ b/crates/catalog/src/items.rs
@@ -1,7 +1,7 @@
-//! The configuration's items: the highest version of each wins, also over a removal.
+//! Configuration items. The highest version of each item wins; a removal has a version too.
 //!
-//! Invariants: a version held never falls; content under the version held never changes; a change
-//! that would leave the whole invalid changes nothing.
+//! Invariants: the stored version of an item never decreases; the content of a stored version never changes;
+//! a change that would make the configuration invalid is refused as a whole.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,77 +10,78 @@
 
 use crate::item::{Item, ItemChange, ItemContent, ItemKey, ItemKind, Route, Service, Version};
 
-/// Longest time a route may hold a request.
-const LONGEST_TIMEOUT: Duration = Duration::from_secs(600);
+/// Longest timeout that a route may set.
+const MAX_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// The newest word on one item.
+/// Latest version of one item. A removal stays stored as a tombstone, so that an older version that arrives
+/// late does not restore the item.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
-    /// Highest version seen.
+pub struct VersionedItem {
+    /// Highest version applied, including that of a removal.
     pub version: Version,
-    /// The item; `None` after a removal.
+    /// Content of the item; `None` after a removal.
     pub item: Option<Item>,
 }
 
-/// Why a change was refused. Nothing of it is in force.
+/// Why a change was refused. No part of a refused change is applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidChange {
-    /// A route names a service that would not be there.
+    /// A route refers to a service that is not defined after the change.
     #[error("route {route}: no service {service}")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service it names.
+        /// Name of the undefined service.
         service: String,
     },
-    /// Two routes would share host and prefix.
+    /// Two routes have the same host and prefix after the change.
     #[error("routes {first} and {second} share a host and prefix")]
-    SamePlace {
-        /// One route.
+    DuplicateRoute {
+        /// Name of one route.
         first: String,
-        /// The other.
+        /// Name of the other route.
         second: String,
     },
-    /// A route sends its requests nowhere.
+    /// The weights of a route's targets add up to 0, so its requests have no target.
     #[error("route {route}: the weights add up to 0")]
-    NoWeight {
-        /// The route.
+    ZeroWeight {
+        /// Name of the route.
         route: String,
     },
-    /// A route holds requests for too long, or for no time.
+    /// The timeout of a route is 0 or above the maximum.
     #[error("route {route}: timeout of {seconds} s is outside 0 to 600 s")]
     Timeout {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The timeout in whole seconds.
+        /// The timeout, rounded down to whole seconds.
         seconds: u64,
     },
-    /// A prefix does not begin with a slash.
+    /// The path prefix of a route does not begin with a slash.
     #[error("route {route}: prefix does not begin with a slash")]
-    BarePrefix {
-        /// The route.
+    PrefixWithoutSlash {
+        /// Name of the route.
         route: String,
     },
 }
 
-/// All items.
+/// All configuration items with their versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Items {
-    held: BTreeMap<ItemKey, Held>,
+    held: BTreeMap<ItemKey, VersionedItem>,
 }
 
 impl Items {
-    /// The newest word on every item, removals included.
-    pub fn all(&self) -> impl Iterator<Item = (&ItemKey, &Held)> {
+    /// Iterates over the latest version of every item, including removals.
+    pub fn all(&self) -> impl Iterator<Item = (&ItemKey, &VersionedItem)> {
         self.held.iter()
     }
 
-    /// Items in force.
+    /// Iterates over the items in force, which are those not removed.
     pub fn in_force(&self) -> impl Iterator<Item = &Item> {
         self.held.values().filter_map(|held| held.item.as_ref())
     }
 
-    /// An item in force.
+    /// Returns an item in force; `None` if it was never set or is removed.
     pub fn get(&self, kind: ItemKind, name: &str) -> Option<&Item> {
         let key = ItemKey {
             kind,
@@ -89,7 +90,7 @@
         self.held.get(&key)?.item.as_ref()
     }
 
-    /// Configuration of a service in force.
+    /// Returns the configuration of a service in force.
     pub fn service(&self, name: &str) -> Option<&Service> {
         match &self.get(ItemKind::Service, name)?.content {
             ItemContent::Service(service) => Some(service),
@@ -97,12 +98,12 @@
         }
     }
 
-    /// Whether any item was ever set.
+    /// Returns whether no item was ever set or removed.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Forgets the operators' own texts.
+    /// Clears the documents of all items.
     pub(crate) fn drop_documents(&mut self) {
         for held in self.held.values_mut() {
             if let Some(item) = &mut held.item {
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Whether the change would alter anything.
-    pub fn is_news(&self, change: &ItemChange) -> bool {
+    /// Returns whether a change contains a newer version of any item.
+    pub fn has_newer_versions(&self, change: &ItemChange) -> bool {
         let mut upserts = change.upserts.iter();
         let mut removals = change.removals.iter();
         upserts.any(|item| self.is_newer(&item.key(), item.version))
@@ -123,30 +124,29 @@
         self.held.get(key).is_none_or(|held| held.version < version)
     }
 
-    /// Checks a change: each item alone, and the configuration as it would be afterwards.
+    /// Validates each item of a change, and the configuration as it would be after the change.
     ///
     /// # Errors
-    /// The first rule that the change breaks.
+    /// Returns the first violation found.
     pub fn check(&self, change: &ItemChange) -> Result<(), InvalidChange> {
         for item in &change.upserts {
             if let ItemContent::Route(route) = &item.content {
                 check_route(&item.name, route)?;
             }
         }
-        if !self.is_news(change) {
+        if !self.has_newer_versions(change) {
             return Ok(());
         }
         let mut next = self.clone();
         next.merge(change);
-        next.check_whole()
+        next.check_routes()
     }
 
-    /// Applies a change that stands in the log. One that is invalid by now changes nothing.
-    ///
-    /// Returns the items that changed.
+    /// Applies a committed change and returns the keys of the items that changed. A change that an earlier
+    /// log entry has made invalid is refused and changes nothing.
     ///
     /// # Errors
-    /// The first rule that the change breaks.
+    /// Returns the first violation found.
     pub fn apply(&mut self, change: &ItemChange) -> Result<Vec<ItemKey>, InvalidChange> {
         self.check(change)?;
         Ok(self.merge(change))
@@ -154,21 +154,21 @@
 
     fn merge(&mut self, change: &ItemChange) -> Vec<ItemKey> {
         let upserts = change.upserts.iter().map(|item| {
-            let held = Held {
+            let held = VersionedItem {
                 version: item.version,
                 item: Some(item.clone()),
             };
             (item.key(), held)
         });
         let removals = change.removals.iter().map(|removal| {
-            let held = Held {
+            let held = VersionedItem {
                 version: removal.version,
                 item: None,
             };
             (removal.key.clone(), held)
         });
         let mut keys = Vec::new();
-        // An item may stand more than once: the highest version wins here as well.
+        // A change may contain an item more than once; the highest version wins here as well.
         for (key, held) in upserts.chain(removals) {
             if self.is_newer(&key, held.version) {
                 keys.push(key.clone());
@@ -178,16 +178,17 @@
         keys
     }
 
-    fn check_whole(&self) -> Result<(), InvalidChange> {
-        let mut places: BTreeMap<(&str, &str), &str> = BTreeMap::new();
+    /// Checks that routes have distinct hosts and prefixes and refer only to defined services.
+    fn check_routes(&self) -> Result<(), InvalidChange> {
+        let mut names: BTreeMap<(&str, &str), &str> = BTreeMap::new();
         for item in self.in_force() {
             let ItemContent::Route(route) = &item.content else {
                 continue;
             };
             self.check_targets(&item.name, route)?;
-            let place = (route.host.as_str(), route.prefix.as_str());
-            if let Some(first) = places.insert(place, &item.name) {
-                return Err(InvalidChange::SamePlace {
+            let pattern = (route.host.as_str(), route.prefix.as_str());
+            if let Some(first) = names.insert(pattern, &item.name) {
+                return Err(InvalidChange::DuplicateRoute {
                     first: first.to_owned(),
                     second: item.name.clone(),
                 });
@@ -214,9 +215,9 @@
 fn check_route(name: &str, route: &Route) -> Result<(), InvalidChange> {
     let route_name = name.to_owned();
     if !route.prefix.starts_with('/') {
-        return Err(InvalidChange::BarePrefix { route: route_name });
+        return Err(InvalidChange::PrefixWithoutSlash { route: route_name });
     }
-    if route.timeout.is_zero() || route.timeout > LONGEST_TIMEOUT {
+    if route.timeout.is_zero() || route.timeout > MAX_TIMEOUT {
         return Err(InvalidChange::Timeout {
             route: route_name,
             seconds: route.timeout.as_secs(),
@@ -228,7 +229,7 @@
         .map(|target| u64::from(target.weight))
         .sum();
     if weight == 0 {
-        return Err(InvalidChange::NoWeight { route: route_name });
+        return Err(InvalidChange::ZeroWeight { route: route_name });
     }
     Ok(())
 }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated state behind routes, services and the servers that registered themselves.
+//! Replicated state machine of configuration items, registered servers and shard owners.
 //!
-//! Invariants: [`Catalog::apply`] is a pure function of the log, so every replica and every router
-//! that applied the same entries holds the same state; an item never goes back to a lower version;
-//! a shard has at most one owner, and each owner got it under a higher fence than the one before.
+//! Invariants: [`Catalog::apply`] is a pure function of the log, so every replica and every gateway
+//! that has applied the same entries holds the same state. The version of an item never decreases.
+//! A shard has at most one owner, and each owner gets a higher fence than the owner before it.
 
 mod catalog;
 mod command;
@@ -20,7 +20,7 @@
     Item, ItemChange, ItemContent, ItemKey, ItemKind, Limits, Removal, RequestKind, Route, Service,
     Version, WeightedService,
 };
-pub use items::{Held, InvalidChange, Items};
+pub use items::{InvalidChange, Items, VersionedItem};
 pub use ownership::{shard_of_key, KeyRange, Shard, ShardOwnership, KEYS, KEYS_PER_SHARD, SHARDS};
 pub use quarantine::{Fingerprint, Quarantine, QuarantineChange};
 pub use routes::RouteIndex;
--- a/crates/catalog/src/ownership.rs
+++ b/crates/catalog/src/ownership.rs
@@ -1,7 +1,7 @@
-//! Owners of a service's shards, with fences and handovers.
+//! Ownership of a service's shards, with fences and handovers.
 //!
-//! Invariant: a shard changes hands only through "no owner", and each new owner gets a fence above all
-//! that the service ever gave.
+//! Invariant: a shard is freed before it is assigned again, and each assignment uses a fence above every
+//! fence that the service has used before.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,57 +10,57 @@
 use crate::command::FreedShard;
 use crate::instance::InstanceId;
 
-/// Number of keys of a sharded service; keys are 0 to this, exclusive.
+/// Number of keys of a sharded service; keys run from 0 up to this number, exclusive.
 pub const KEYS: u32 = 65_536;
 
-/// Neighbouring keys that always have the same owner.
+/// Number of contiguous keys in one shard. They always have the same owner.
 pub const KEYS_PER_SHARD: u32 = 16;
 
 /// Number of shards of a sharded service.
 pub const SHARDS: usize = (KEYS / KEYS_PER_SHARD) as usize;
 
-/// Shard that holds a key.
+/// Returns the number of the shard that holds a key.
 pub fn shard_of_key(key: u16) -> usize {
     (u32::from(key) / KEYS_PER_SHARD) as usize
 }
 
-/// One shard: its owner, the fence, and what its last owner handed over.
+/// Ownership state of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
-    /// Present owner.
+    /// Current owner; `None` while the shard is unowned.
     pub owner: Option<InstanceId>,
-    /// Fence of the present or last owner; 0 before the first.
+    /// Fence of the current or last owner; 0 before the first assignment.
     pub fence: u64,
-    /// Handover that the last owner gave when it released the shard; empty without one.
+    /// Handover that the last owner supplied when it released the shard; empty if there was none.
     pub handover: String,
 }
 
-/// Neighbouring keys with one owner, fence and handover.
+/// Contiguous range of keys with one fence and one handover.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRange {
     /// First key.
     pub from: u32,
     /// Last key, inclusive.
     pub to: u32,
-    /// Fence of the owner.
+    /// Fence of the shards in the range.
     pub fence: u64,
-    /// Handover of the last owner; empty without one.
+    /// Handover from the last owner; empty if there was none.
     pub handover: String,
 }
 
-/// The shards of one service.
+/// Owners of the shards of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredOwnership", into = "StoredOwnership")]
 pub struct ShardOwnership {
     shards: Vec<Shard>,
     last_fence: u64,
-    /// Shards by owner, worked out from `shards`.
+    /// Shards by owner; an index over `shards` that is not stored.
     by_owner: BTreeMap<InstanceId, BTreeSet<u16>>,
-    /// Shards without an owner, worked out from `shards`.
+    /// Shards without an owner; an index over `shards` that is not stored.
     unowned: BTreeSet<u16>,
 }
 
-/// What is stored of [`ShardOwnership`]: each owner's name once.
+/// Stored form of [`ShardOwnership`], which holds each owner's identity once.
 #[derive(Serialize, Deserialize)]
 struct StoredOwnership {
     owners: Vec<InstanceId>,
@@ -68,10 +68,10 @@
     last_fence: u64,
 }
 
-/// A shard as it is stored.
+/// Stored form of [`Shard`].
 #[derive(Serialize, Deserialize)]
 struct StoredShard {
-    /// Place of its owner in the list of owners.
+    /// Position of the owner in `StoredOwnership::owners`.
     owner: Option<u16>,
     fence: u64,
     handover: String,
@@ -80,9 +80,9 @@
 impl From<ShardOwnership> for StoredOwnership {
     fn from(ownership: ShardOwnership) -> Self {
         let owners: Vec<InstanceId> = ownership.by_owner.keys().cloned().collect();
-        let place = |owner: &InstanceId| owners.binary_search(owner).ok().map(|at| at as u16);
+        let position = |owner: &InstanceId| owners.binary_search(owner).ok().map(|at| at as u16);
         let shards = ownership.shards.into_iter().map(|shard| StoredShard {
-            owner: shard.owner.as_ref().and_then(place),
+            owner: shard.owner.as_ref().and_then(position),
             fence: shard.fence,
             handover: shard.handover,
         });
@@ -98,7 +98,7 @@
 impl From<StoredOwnership> for ShardOwnership {
     fn from(stored: StoredOwnership) -> Self {
         let owners = stored.owners;
-        let owner_at = |at: u16| owners.get(usize::from(at)).cloned();
+        let owner_at = |position: u16| owners.get(usize::from(position)).cloned();
         let shards = stored.shards.into_iter().map(|shard| Shard {
             owner: shard.owner.and_then(owner_at),
             fence: shard.fence,
@@ -135,53 +135,54 @@
         }
     }
 
-    /// Forgets what owners handed over.
+    /// Clears the handover of every shard.
     pub(crate) fn drop_handovers(&mut self) {
         for shard in &mut self.shards {
             shard.handover = String::new();
         }
     }
 
-    /// All shards, in the order of their keys.
+    /// Returns all shards, in key order.
     pub fn shards(&self) -> &[Shard] {
         &self.shards
     }
 
-    /// Highest fence ever given.
+    /// Returns the highest fence ever assigned; 0 before the first assignment.
     pub fn last_fence(&self) -> u64 {
         self.last_fence
     }
 
-    /// Shards that a server owns, in the order of their keys.
+    /// Iterates over the numbers of the shards that a server owns, in key order.
     pub fn owned_by(&self, id: &InstanceId) -> impl Iterator<Item = usize> + '_ {
         let owned = self.by_owner.get(id).into_iter().flatten();
         owned.map(|number| usize::from(*number))
     }
 
-    /// How many shards a server owns.
+    /// Returns the number of shards that a server owns.
     pub fn owned_count(&self, id: &InstanceId) -> usize {
         self.by_owner.get(id).map_or(0, BTreeSet::len)
     }
 
-    /// How many servers own shards.
+    /// Returns the number of servers that own at least one shard.
     pub fn owner_count(&self) -> usize {
         self.by_owner.len()
     }
 
-    /// Every owner with its shards.
+    /// Iterates over the owners with the numbers of their shards.
     pub fn owners(&self) -> impl Iterator<Item = (&InstanceId, &BTreeSet<u16>)> {
         self.by_owner.iter()
     }
 
-    /// Shards without an owner, in the order of their keys.
+    /// Returns the numbers of the shards without an owner, in key order.
     pub fn unowned(&self) -> &BTreeSet<u16> {
         &self.unowned
     }
 
-    /// Gives shards that have no owner to a server, under one new fence; returns those given.
+    /// Assigns shards to a server under one new fence and returns the shards assigned. Shards that have an
+    /// owner are skipped.
     pub fn assign(&mut self, id: &InstanceId, shards: &[u16]) -> Vec<u16> {
         let fence = self.last_fence + 1;
-        let mut given = Vec::new();
+        let mut assigned = Vec::new();
         for &number in shards {
             let Some(shard) = self.shards.get_mut(usize::from(number)) else {
                 continue;
@@ -191,17 +192,17 @@
                 shard.fence = fence;
                 self.unowned.remove(&number);
                 self.by_owner.entry(id.clone()).or_default().insert(number);
-                given.push(number);
+                assigned.push(number);
             }
         }
-        if !given.is_empty() {
+        if !assigned.is_empty() {
             self.last_fence = fence;
         }
-        given
+        assigned
     }
 
-    /// Takes shards from their owner, who no longer holds them; returns those that were its own under
-    /// the stated fence.
+    /// Takes shards from their owner and returns the shards freed. A shard that has another owner or another
+    /// fence than stated is skipped, so that a late release does not free a newer assignment.
     pub fn free(&mut self, id: &InstanceId, shards: &[FreedShard]) -> Vec<u16> {
         let mut freed = Vec::new();
         for released in shards {
@@ -215,12 +216,13 @@
             }
         }
         for shard in &freed {
-            self.note_free(id, *shard);
+            self.index_as_unowned(id, *shard);
         }
         freed
     }
 
-    fn note_free(&mut self, id: &InstanceId, shard: u16) {
+    /// Moves a freed shard from the index of its former owner to the index of unowned shards.
+    fn index_as_unowned(&mut self, id: &InstanceId, shard: u16) {
         self.unowned.insert(shard);
         let Some(owned) = self.by_owner.get_mut(id) else {
             return;
@@ -231,22 +233,23 @@
         }
     }
 
-    /// Rows of the given shards, which stand in the order of their keys.
+    /// Merges shards into key ranges: adjacent shards with the same fence and handover share one range.
+    /// `shards` must be in key order.
     pub fn key_ranges(&self, shards: impl Iterator<Item = usize>) -> Vec<KeyRange> {
-        let mut rows: Vec<KeyRange> = Vec::new();
+        let mut ranges: Vec<KeyRange> = Vec::new();
         for number in shards {
             let shard = &self.shards[number];
             let from = number as u32 * KEYS_PER_SHARD;
             let to = from + KEYS_PER_SHARD - 1;
-            match rows.last_mut() {
-                Some(row)
-                    if row.to + 1 == from
-                        && row.fence == shard.fence
-                        && row.handover == shard.handover =>
+            match ranges.last_mut() {
+                Some(range)
+                    if range.to + 1 == from
+                        && range.fence == shard.fence
+                        && range.handover == shard.handover =>
                 {
-                    row.to = to;
+                    range.to = to;
                 }
-                _ => rows.push(KeyRange {
+                _ => ranges.push(KeyRange {
                     from,
                     to,
                     fence: shard.fence,
@@ -254,6 +257,6 @@
                 }),
             }
         }
-        rows
+        ranges
     }
 }
--- a/crates/catalog/src/quarantine.rs
+++ b/crates/catalog/src/quarantine.rs
@@ -1,25 +1,26 @@
-//! Requests that crash the servers which run them, and that no gateway sends any more.
+//! Quarantine of requests that crash the servers that execute them. Gateways send such a request to no
+//! server.
 
 use std::collections::VecDeque;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Requests that are quarantined at most; the oldest gives way.
-const MOST_QUARANTINED: usize = 256;
+/// Maximum number of quarantined requests. Adding another one removes the oldest.
+const MAX_QUARANTINED: usize = 256;
 
-/// What a request is, whoever tries it and however often: a hash of what makes a server run the same work.
+/// Identifies requests that make a server execute the same work, independent of the client and the attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u64, u64);
 
 impl Fingerprint {
-    /// From a hash of 128 bits.
+    /// Creates a fingerprint from a 128-bit hash of the parts of a request that determine its work.
     pub fn from_hash(hash: u128) -> Self {
         Self((hash >> u64::BITS) as u64, hash as u64)
     }
 }
 
-/// As logs show it: the first half.
+/// Writes the upper 64 bits in hexadecimal, which is the form used in logs.
 impl fmt::Display for Fingerprint {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{:016x}", self.0)
@@ -32,38 +33,39 @@
     }
 }
 
-/// A request that is quarantined from now on, or no longer.
+/// A request that was added to or removed from the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineChange {
-    /// The request.
+    /// Identifies the request.
     pub fingerprint: Fingerprint,
-    /// Whether it is quarantined now.
+    /// True if the request was added, false if it was removed.
     pub quarantined: bool,
 }
 
-/// The requests that are quarantined, the oldest first.
+/// Quarantined requests, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quarantine {
     requests: VecDeque<Fingerprint>,
 }
 
 impl Quarantine {
-    /// Whether no request is quarantined.
+    /// Returns whether no request is quarantined.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether a request is quarantined.
+    /// Returns whether a request is quarantined.
     pub fn contains(&self, fingerprint: Fingerprint) -> bool {
         self.requests.contains(&fingerprint)
     }
 
-    /// Every request that is quarantined, the oldest first.
+    /// Iterates over the quarantined requests, oldest first.
     pub fn requests(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.requests.iter().copied()
     }
 
-    /// Quarantines a request, or no longer; what changed.
+    /// Adds or removes a request and returns the changes, which include the oldest request if adding
+    /// exceeded the maximum.
     pub(crate) fn set(
         &mut self,
         fingerprint: Fingerprint,
@@ -77,11 +79,11 @@
             quarantined,
         }];
         if !quarantined {
-            self.requests.retain(|one| *one != fingerprint);
+            self.requests.retain(|request| *request != fingerprint);
             return changes;
         }
         self.requests.push_back(fingerprint);
-        if self.requests.len() > MOST_QUARANTINED {
+        if self.requests.len() > MAX_QUARANTINED {
             let oldest = self.requests.pop_front();
             changes.extend(oldest.map(|fingerprint| QuarantineChange {
                 fingerprint,
--- a/crates/catalog/src/routes.rs
+++ b/crates/catalog/src/routes.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request by host and longest path prefix.
+//! Matches requests to routes by host and longest path prefix.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,17 +6,17 @@
 use crate::item::{ItemContent, Route};
 use crate::items::Items;
 
-/// A route with its name.
+/// Name of a route and the route itself.
 pub type NamedRoute = (String, Arc<Route>);
 
-/// Routes by host, the longest prefix first.
+/// Routes by lower-case host, longest prefix first.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex {
     by_host: HashMap<String, Vec<NamedRoute>>,
 }
 
 impl RouteIndex {
-    /// Indexes the routes in force.
+    /// Builds the index from the active routes.
     pub fn new(items: &Items) -> Self {
         let mut by_host: HashMap<String, Vec<NamedRoute>> = HashMap::new();
         for item in items.in_force() {
@@ -32,7 +32,8 @@
         Self { by_host }
     }
 
-    /// Route of a request. `host` may carry a port; `path` is without the query.
+    /// Returns the route of a request. `host` may include a port and is matched without regard to case;
+    /// `path` must not include the query.
     pub fn find(&self, host: &str, path: &str) -> Option<&NamedRoute> {
         let name = host.split(':').next().unwrap_or(host);
         let routes = match self.by_host.get(name) {
--- a/crates/catalog/tests/evacuations.rs
+++ b/crates/catalog/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations as replicated state: idempotent, each zone by itself, with servers that may be cold afterwards.
+//! Evacuation of zones: commands are idempotent, zones are independent, and servers may be cold afterwards.
 
 use grebepin_catalog::{
     Catalog, Command, EvacuationChange, Instance, InstanceId, InstanceState, Item, ItemChange,
@@ -33,7 +33,7 @@
     })
 }
 
-fn set(zone: &str, evacuated: bool) -> Command {
+fn set_evacuation(zone: &str, evacuated: bool) -> Command {
     Command::SetEvacuation {
         zone: zone.to_owned(),
         evacuated,
@@ -53,56 +53,70 @@
 }
 
 fn usable(catalog: &Catalog) -> Vec<&str> {
-    let usable = catalog.instances().filter(|one| catalog.is_usable(one));
-    usable.map(|one| one.id.name()).collect()
+    let usable = catalog
+        .instances()
+        .filter(|instance| catalog.is_usable(instance));
+    usable.map(|instance| instance.id.name()).collect()
 }
 
 fn cold(catalog: &Catalog) -> Vec<&str> {
-    let cold = catalog.instances().filter(|one| one.is_cold);
-    cold.map(|one| one.id.name()).collect()
+    let cold = catalog.instances().filter(|instance| instance.is_cold);
+    cold.map(|instance| instance.id.name()).collect()
 }
 
 #[test]
-fn an_evacuation_bars_its_zone_alone_and_the_same_order_again_changes_nothing() {
+fn an_evacuation_affects_only_its_zone_and_repeating_it_changes_nothing() {
     let mut catalog = catalog(None);
-    let begun = Some(EvacuationChange {
+    let started = Some(EvacuationChange {
         zone: "east".to_owned(),
         evacuated: true,
     });
-    assert_eq!(catalog.apply(&set("east", true)).evacuation, begun);
-    assert_eq!(catalog.apply(&set("east", true)).evacuation, None);
+    assert_eq!(
+        catalog.apply(&set_evacuation("east", true)).evacuation,
+        started
+    );
+    assert_eq!(
+        catalog.apply(&set_evacuation("east", true)).evacuation,
+        None
+    );
     assert_eq!(usable(&catalog), vec!["b"]);
     catalog.apply(&server("c", "east"));
     assert_eq!(
         usable(&catalog),
         vec!["b"],
-        "a newcomer there is barred as well"
+        "a server that registers during the evacuation is not usable either"
+    );
+    assert_eq!(
+        catalog.apply(&set_evacuation("west", false)).evacuation,
+        None
     );
-    assert_eq!(catalog.apply(&set("west", false)).evacuation, None);
-    catalog.apply(&set("west", true));
+    catalog.apply(&set_evacuation("west", true));
     assert!(
         usable(&catalog).is_empty(),
-        "all zones at once leave nobody"
+        "no server is usable while all zones are evacuated"
     );
-    assert!(catalog.apply(&set("east", false)).evacuation.is_some());
+    assert!(catalog
+        .apply(&set_evacuation("east", false))
+        .evacuation
+        .is_some());
     assert_eq!(usable(&catalog), vec!["a", "c"]);
 }
 
 #[test]
-fn after_an_evacuation_servers_count_as_cold_until_they_say_otherwise() {
+fn after_an_evacuation_servers_count_as_cold_until_their_next_heartbeat() {
     let mut catalog = catalog(Some(6.7));
-    catalog.apply(&set("east", true));
+    catalog.apply(&set_evacuation("east", true));
     assert!(cold(&catalog).is_empty());
-    catalog.apply(&set("east", false));
+    catalog.apply(&set_evacuation("east", false));
     assert_eq!(cold(&catalog), vec!["a"]);
     catalog.apply(&server("a", "east"));
     assert!(cold(&catalog).is_empty());
 }
 
 #[test]
-fn where_warming_up_bounds_nothing_no_server_counts_as_cold() {
+fn without_a_warmup_rate_no_server_counts_as_cold() {
     let mut catalog = catalog(None);
-    catalog.apply(&set("east", true));
-    catalog.apply(&set("east", false));
+    catalog.apply(&set_evacuation("east", true));
+    catalog.apply(&set_evacuation("east", false));
     assert!(cold(&catalog).is_empty());
 }
--- a/crates/catalog/tests/items.rs
+++ b/crates/catalog/tests/items.rs
@@ -1,4 +1,4 @@
-//! Configuration items: versions, removals, and changes that are refused whole.
+//! Configuration items: versions, removals, and refusal of invalid changes as a whole.
 
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     }
 }
 
-fn drop_route(name: &str, version: u64) -> ItemChange {
+fn remove_route(name: &str, version: u64) -> ItemChange {
     ItemChange {
         upserts: Vec::new(),
         removals: vec![Removal {
@@ -62,21 +62,22 @@
     }
 }
 
-fn founded() -> Items {
+/// Items with service `s` and route `a`, both at version 1.
+fn initial_items() -> Items {
     let mut items = Items::default();
     let change = set(vec![service("s", 1), route("a", 1, "/a/", "s")]);
     items.apply(&change).expect("valid");
     items
 }
 
-fn held_document(items: &Items, name: &str) -> Option<String> {
+fn route_document(items: &Items, name: &str) -> Option<String> {
     let item = items.get(ItemKind::Route, name)?;
     Some(item.document.clone())
 }
 
 #[test]
-fn an_older_or_equal_version_changes_nothing_and_is_taken() {
-    let mut items = founded();
+fn an_older_or_equal_version_is_accepted_and_changes_nothing() {
+    let mut items = initial_items();
     items
         .apply(&set(vec![route("a", 5, "/b/", "s")]))
         .expect("newer");
@@ -88,42 +89,42 @@
         Ok(Vec::new())
     );
     assert_eq!(
-        held_document(&items, "a").as_deref(),
+        route_document(&items, "a").as_deref(),
         Some("a at version 5")
     );
 }
 
 #[test]
-fn a_removal_outlives_a_late_older_change() {
-    let mut items = founded();
-    items.apply(&drop_route("a", 7)).expect("valid");
+fn an_older_version_that_arrives_after_a_removal_does_not_restore_the_item() {
+    let mut items = initial_items();
+    items.apply(&remove_route("a", 7)).expect("valid");
     items
         .apply(&set(vec![route("a", 6, "/a/", "s")]))
-        .expect("overtaken, not refused");
-    assert_eq!(held_document(&items, "a"), None);
+        .expect("an outdated change is ignored, not refused");
+    assert_eq!(route_document(&items, "a"), None);
     items
         .apply(&set(vec![route("a", 8, "/a/", "s")]))
         .expect("valid");
-    assert!(held_document(&items, "a").is_some());
+    assert!(route_document(&items, "a").is_some());
 }
 
 #[test]
-fn an_item_may_stand_twice_in_one_change_and_the_highest_version_wins() {
-    let mut items = founded();
+fn a_change_may_contain_an_item_twice_and_the_highest_version_wins() {
+    let mut items = initial_items();
     let change = ItemChange {
         upserts: vec![route("a", 9, "/x/", "s"), route("a", 8, "/y/", "s")],
-        ..drop_route("a", 7)
+        ..remove_route("a", 7)
     };
     items.apply(&change).expect("valid");
     assert_eq!(
-        held_document(&items, "a").as_deref(),
+        route_document(&items, "a").as_deref(),
         Some("a at version 9")
     );
 }
 
 #[test]
-fn routes_may_swap_places_in_one_change() {
-    let mut items = founded();
+fn one_change_may_swap_the_prefixes_of_two_routes() {
+    let mut items = initial_items();
     items
         .apply(&set(vec![route("b", 1, "/b/", "s")]))
         .expect("valid");
@@ -132,8 +133,8 @@
 }
 
 #[test]
-fn each_kind_of_invalid_change_is_refused_whole() {
-    let items = founded();
+fn each_kind_of_invalid_change_is_refused_as_a_whole() {
+    let items = initial_items();
     let mut weightless = route("n", 2, "/n/", "s");
     let mut slow = route("n", 2, "/n/", "s");
     if let ItemContent::Route(route) = &mut weightless.content {
@@ -154,13 +155,13 @@
         let change = set(vec![service("fine", 2), bad]);
         let error = next.apply(&change).expect_err(reason);
         assert!(error.to_string().contains(reason), "{error}");
-        assert_eq!(next, items, "nothing of a refused change is in force");
+        assert_eq!(next, items, "no part of a refused change is applied");
     }
 }
 
 #[test]
-fn a_service_that_a_route_needs_stays() {
-    let mut items = founded();
+fn a_service_that_a_route_refers_to_cannot_be_removed() {
+    let mut items = initial_items();
     let change = ItemChange {
         upserts: Vec::new(),
         removals: vec![Removal {
@@ -176,8 +177,8 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_a_request() {
-    let mut items = founded();
+fn a_request_matches_the_longest_prefix_of_its_host() {
+    let mut items = initial_items();
     items
         .apply(&set(vec![
             route("deep", 1, "/a/b/", "s"),
@@ -195,23 +196,24 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
-    /// Whatever the order and the repeats, the highest version of a name is held in the end.
+    /// The stored item is that of the highest version, independent of the order of the changes and of
+    /// duplicates.
     #[test]
-    fn order_and_repeats_do_not_matter(
+    fn the_order_and_repetition_of_changes_do_not_matter(
         mut versions in prop::collection::vec((0_u64..40, any::<bool>()), 1..30),
     ) {
         versions.sort();
         versions.dedup_by_key(|(version, _)| *version);
         let apply_all = |order: &[(u64, bool)]| {
-            let mut items = founded();
+            let mut items = initial_items();
             for (version, removes) in order {
                 let change = match removes {
-                    true => drop_route("a", *version),
+                    true => remove_route("a", *version),
                     false => set(vec![route("a", *version, "/a/", "s")]),
                 };
                 items.apply(&change).expect("valid");
             }
-            held_document(&items, "a")
+            route_document(&items, "a")
         };
         let forward = apply_all(&versions);
         let mut shuffled = versions.clone();
--- a/crates/catalog/tests/ownership.rs
+++ b/crates/catalog/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Shards and servers of the replicated state.
+//! Shard ownership and server states in the catalog.
 
 use grebepin_catalog::{
     Catalog, Command, FreedShard, Instance, InstanceId, InstanceState, ShardOwnership,
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn a_shard_changes_hands_only_through_no_owner_and_under_a_higher_fence() {
+fn a_shard_is_freed_before_it_is_assigned_again_under_a_higher_fence() {
     let mut ownership = ShardOwnership::default();
     assert_eq!(ownership.assign(&id("a"), &[0, 1]), vec![0, 1]);
     assert_eq!(
         ownership.assign(&id("b"), &[1, 2]),
         vec![2],
-        "1 has an owner"
+        "shard 1 has an owner"
     );
     let first = ownership.shards()[1].fence;
     assert_eq!(ownership.free(&id("a"), &[freed(1, first)]), vec![1]);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_late_release_does_not_free_what_was_given_anew() {
+fn a_late_release_does_not_free_a_shard_that_was_assigned_again() {
     let mut ownership = ShardOwnership::default();
     ownership.assign(&id("a"), &[7]);
     let first = ownership.shards()[7].fence;
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn rows_join_neighbours_of_one_fence_and_handover() {
+fn adjacent_shards_with_the_same_fence_and_handover_share_a_key_range() {
     let mut ownership = ShardOwnership::default();
     ownership.assign(&id("a"), &[0, 1, 3]);
     let owned: Vec<usize> = ownership.owned_by(&id("a")).collect();
-    let rows = ownership.key_ranges(owned.into_iter());
-    let bounds: Vec<(u32, u32)> = rows.iter().map(|row| (row.from, row.to)).collect();
+    let ranges = ownership.key_ranges(owned.into_iter());
+    let bounds: Vec<(u32, u32)> = ranges.iter().map(|range| (range.from, range.to)).collect();
     assert_eq!(bounds, vec![(0, 31), (48, 63)]);
 }
 
@@ -87,7 +87,7 @@
     );
 }
 
-fn life(started_ms: u64, state: InstanceState) -> Instance {
+fn incarnation(started_ms: u64, state: InstanceState) -> Instance {
     Instance {
         id: InstanceId::started_at("a", started_ms),
         ..instance("a", state)
@@ -95,9 +95,12 @@
 }
 
 #[test]
-fn a_later_life_ends_the_earlier_ones_and_none_of_them_comes_back() {
+fn a_later_incarnation_ends_the_earlier_ones_for_good() {
     let mut catalog = Catalog::default();
-    let (first, second) = (life(1, InstanceState::Ready), life(2, InstanceState::Ready));
+    let (first, second) = (
+        incarnation(1, InstanceState::Ready),
+        incarnation(2, InstanceState::Ready),
+    );
     let register = |instance: &Instance| Command::Register(instance.clone());
     catalog.apply(&register(&first));
     let effects = catalog.apply(&register(&second));
@@ -107,23 +110,25 @@
     let gone = catalog.instance(&first.id).map(|one| one.state);
     assert_eq!(gone, Some(InstanceState::Gone));
     assert_eq!(
-        catalog.latest_incarnation(&first.id).map(|one| &one.id),
+        catalog
+            .latest_incarnation(&first.id)
+            .map(|latest| &latest.id),
         Some(&second.id)
     );
 }
 
 #[test]
-fn a_life_that_was_never_heard_before_a_later_one_is_not_taken_in() {
+fn an_unknown_incarnation_is_ignored_when_a_later_one_is_known() {
     let mut catalog = Catalog::default();
-    catalog.apply(&Command::Register(life(2, InstanceState::Ready)));
+    catalog.apply(&Command::Register(incarnation(2, InstanceState::Ready)));
     let before = catalog.clone();
-    let effects = catalog.apply(&Command::Register(life(1, InstanceState::Ready)));
+    let effects = catalog.apply(&Command::Register(incarnation(1, InstanceState::Ready)));
     assert_eq!(effects.instances, []);
     assert_eq!(catalog, before);
 }
 
 #[test]
-fn shards_go_to_known_servers_only() {
+fn shards_are_assigned_only_to_live_servers() {
     let mut catalog = Catalog::default();
     let assign = |name| Command::AssignShards {
         service: "s".to_owned(),
@@ -140,9 +145,9 @@
     assert!(catalog.ownership("s").is_none());
 }
 
-/// Logs and messages of versions that knew no starts hold a name alone.
+/// Logs and messages from versions without start times contain only the name.
 #[test]
-fn an_identity_without_a_start_is_stored_as_its_name() {
+fn an_identity_without_a_start_time_is_stored_as_its_name() {
     let plain = rmp_serde::to_vec(&id("i-1")).expect("encodes");
     assert_eq!(plain, rmp_serde::to_vec("i-1").expect("encodes"));
     for id in [id("i-1"), InstanceId::started_at("i-1", 1_779_050_669_125)] {
