--- a/crates/consensus/examples/election_time.rs
+++ b/crates/consensus/examples/election_time.rs
@@ -29,7 +29,7 @@
 fn is_usable(cluster: &Cluster, id: u64) -> bool {
     let core = cluster.core(id);
     let now = cluster.replica(id).clock.read(cluster.at);
-    core.leads_with_commit() && core.leader_lease_until().is_some_and(|until| now < until)
+    core.has_committed_in_term() && core.leader_lease_until().is_some_and(|until| now < until)
 }
 
 /// Time until a leader other than `lost` is usable.
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -18,7 +18,7 @@
     pub heartbeat: Duration,
     /// Least time between two messages with news to one learner: learners count for nothing, and with many of them a
     /// busy leader would spend most of its time on them. Zero sends to them as often as to voters.
-    pub learner_pause: Duration,
+    pub learner_send_interval: Duration,
     /// Most by which two clocks' rates differ, in percent; below 100. Leases keep to it even if
     /// each clock is off by as much.
     pub drift_percent: u32,
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -44,7 +44,7 @@
 
     fn send_to_members(&mut self) {
         let counted = self.counted_members();
-        let (now, pause) = (self.now, self.config.learner_pause);
+        let (now, pause) = (self.now, self.config.learner_send_interval);
         let State::Leader(leadership) = &mut self.state else {
             return;
         };
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -74,7 +74,7 @@
 
     /// Whether this replica leads and an entry of its own term is committed, so that everything
     /// acknowledged by earlier leaders is known to be committed here.
-    pub fn leads_with_commit(&self) -> bool {
+    pub fn has_committed_in_term(&self) -> bool {
         match &self.state {
             State::Leader(leadership) => self.log.commit() >= leadership.first_index,
             _ => false,
--- a/crates/consensus/tests/support/calls.rs
+++ b/crates/consensus/tests/support/calls.rs
@@ -22,7 +22,7 @@
     pub fn elect(&mut self) -> u64 {
         let elected = self.run_until(Duration::from_secs(60), |cluster| {
             let leader = cluster.leader();
-            leader.is_some_and(|id| cluster.core(id).leads_with_commit())
+            leader.is_some_and(|id| cluster.core(id).has_committed_in_term())
         });
         assert!(elected, "no leader within a minute");
         self.leader().expect("a leader")
--- a/crates/consensus/tests/support/members.rs
+++ b/crates/consensus/tests/support/members.rs
@@ -35,7 +35,7 @@
         id: ReplicaId(replica),
         election_timeout: ELECTION_TIMEOUT,
         heartbeat: HEARTBEAT,
-        learner_pause: Duration::ZERO,
+        learner_send_interval: Duration::ZERO,
         drift_percent: DRIFT_PERCENT,
         seed,
         guards,
--- a/crates/control/src/node/config.rs
+++ b/crates/control/src/node/config.rs
@@ -86,7 +86,7 @@
             id,
             election_timeout: self.timing.election_timeout,
             heartbeat: self.timing.replica_heartbeat,
-            learner_pause: Duration::ZERO,
+            learner_send_interval: Duration::ZERO,
             drift_percent: self.timing.drift_percent,
             seed: self.seed,
             guards: self.guards.consensus,
--- a/crates/directory/src/node/config.rs
+++ b/crates/directory/src/node/config.rs
@@ -112,7 +112,7 @@
             id: replica,
             election_timeout: self.timing.election_timeout,
             heartbeat: self.timing.round,
-            learner_pause: self.timing.learner_pause,
+            learner_send_interval: self.timing.learner_pause,
             drift_percent: 2,
             seed: self.random_seed,
             guards: Guards::all(),
--- a/crates/directory/src/node/leading.rs
+++ b/crates/directory/src/node/leading.rs
@@ -43,7 +43,7 @@
             self.end_leadership();
         }
         let applied_all = self.applied >= self.consensus.commit();
-        if self.leadership.is_none() && self.consensus.leads_with_commit() && applied_all {
+        if self.leadership.is_none() && self.consensus.has_committed_in_term() && applied_all {
             self.begin_leadership(now, term);
         }
         self.tick_leadership(now);
