--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,20 +1,20 @@
-//! Plumbing of the daemons that serve all their connections from one thread: non-blocking
-//! connections, HTTP/1.1 messages, frames, and deadlines.
+//! Building blocks of daemons that serve all connections from one thread: non-blocking connections, HTTP/1.1
+//! messages, frames and deadlines.
 //!
-//! Invariants: nothing here waits; a message is handed out only once it is whole and unambiguous;
-//! no buffer grows past the limit that the caller states.
+//! Invariants: no function blocks. A message is returned only once it is complete and unambiguous. No buffer
+//! grows beyond the caller's limit by more than one read.
 
 mod clock;
+mod compression;
 mod connection;
 mod deadlines;
 mod frames;
 pub mod http;
-mod packing;
 mod text_server;
 
-pub use clock::{Clock, StandstillWatch};
+pub use clock::{Clock, StallDetector};
+pub use compression::{compress, decompress};
 pub use connection::{Connection, ReadOutcome};
 pub use deadlines::Deadlines;
 pub use frames::{decode_frame, encode_frame, take_frame, FrameError, MAXIMUM_FRAME_BYTES};
-pub use packing::{pack, unpack};
-pub use text_server::{TextAnswer, TextServer};
+pub use text_server::{TextResponse, TextServer};
