--- a/crates/gateway/src/follow/link.rs
+++ b/crates/gateway/src/follow/link.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebepin_directory::link::{FromReplica, Head, ToReplica};
+use grebepin_directory::link::{FromReplica, SourceStatus, ToReplica};
 use grebepin_reactor::{encode_frame, take_frame, Connection, ReadOutcome};
 
 /// Bytes that are buffered until a frame is complete.
@@ -26,7 +26,7 @@
     pub(super) opened_at: Duration,
     pub(super) last_received: Duration,
     /// Last status message of a replica.
-    pub(super) head: Option<Head>,
+    pub(super) head: Option<SourceStatus>,
     /// When the last report was sent; `None` before the first.
     pub(super) last_report: Option<Duration>,
 }
