--- a/crates/directory/src/node/config.rs
+++ b/crates/directory/src/node/config.rs
@@ -113,7 +113,7 @@
             id: replica,
             election_timeout: self.timing.election_timeout,
             heartbeat: self.timing.heartbeat_interval,
-            learner_pause: self.timing.learner_send_interval,
+            learner_send_interval: self.timing.learner_send_interval,
             drift_percent: 2,
             seed: self.random_seed,
             guards: Guards::all(),
