--- a/crates/control/src/daemon/admin.rs
+++ b/crates/control/src/daemon/admin.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use grebepin_http::{serve, Answer, MessageError, Question, ServerHooks, ServerOptions};
+use grebepin_http::{serve, HttpRequest, HttpResponse, MessageError, ServerHooks, ServerOptions};
 use grebepin_schema::limits::MAXIMUM_BUNDLE_BYTES;
 use grebepin_schema::{ApiError, ApiErrorKind};
 use grebepin_telemetry::metrics::METRICS_CONTENT_TYPE;
@@ -32,8 +32,8 @@
     maximum_head: 16 << 10,
     maximum_headers: 64,
     maximum_body: MAXIMUM_BUNDLE_BYTES,
-    idle: Some(Duration::from_secs(10)),
-    transfer: Duration::from_secs(10),
+    idle_timeout: Some(Duration::from_secs(10)),
+    transfer_timeout: Duration::from_secs(10),
 };
 
 const JSON: &str = "application/json";
@@ -69,11 +69,11 @@
 }
 
 impl ServerHooks for AdminContext {
-    fn answer(&self, question: Question) -> Answer {
-        answer(self, &question)
+    fn respond(&self, request: HttpRequest) -> HttpResponse {
+        answer(self, &request)
     }
 
-    fn refuse(&self, status: u16, error: &MessageError) -> Answer {
+    fn respond_to_invalid(&self, status: u16, error: &MessageError) -> HttpResponse {
         json(
             status,
             &api_error(ApiErrorKind::BadRequest, error.to_string()),
@@ -81,7 +81,7 @@
     }
 }
 
-fn answer(context: &AdminContext, request: &Question) -> Answer {
+fn answer(context: &AdminContext, request: &HttpRequest) -> HttpResponse {
     let result = match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/live") => return live(context),
         ("GET", "/ready") => context.ask(AdminRequest::Ready),
@@ -110,7 +110,7 @@
 impl AdminContext {
     fn change<T: DeserializeOwned>(
         &self,
-        request: &Question,
+        request: &HttpRequest,
         make: impl FnOnce(T) -> AdminRequest,
     ) -> Result<AdminAnswer, ApiError> {
         self.ask(make(read_body(request)?))
@@ -134,19 +134,19 @@
     }
 }
 
-fn read_body<T: DeserializeOwned>(request: &Question) -> Result<T, ApiError> {
+fn read_body<T: DeserializeOwned>(request: &HttpRequest) -> Result<T, ApiError> {
     serde_json::from_slice(&request.body)
         .map_err(|cause| api_error(ApiErrorKind::BadRequest, cause.to_string()))
 }
 
-fn live(context: &AdminContext) -> Answer {
+fn live(context: &AdminContext) -> HttpResponse {
     match context.liveness.is_alive() {
         true => text(200, "live\n"),
         false => text(503, "the control thread does not answer\n"),
     }
 }
 
-fn success(context: &AdminContext, answer: &AdminAnswer) -> Answer {
+fn success(context: &AdminContext, answer: &AdminAnswer) -> HttpResponse {
     match answer {
         AdminAnswer::Founded(identity) | AdminAnswer::Identity(identity) => json(200, identity),
         AdminAnswer::Rolled(answer) => json(200, answer),
@@ -160,21 +160,21 @@
             text(503, "no leader is known, or entries wait to be applied\n")
         }
         AdminAnswer::Metrics(metrics) => match context.gauges.render(metrics) {
-            Ok(body) => Answer::data(200, METRICS_CONTENT_TYPE, body),
+            Ok(body) => HttpResponse::data(200, METRICS_CONTENT_TYPE, body),
             Err(cause) => text(500, &cause.to_string()),
         },
     }
 }
 
-fn json(status: u16, value: &impl Serialize) -> Answer {
+fn json(status: u16, value: &impl Serialize) -> HttpResponse {
     match serde_json::to_vec(value) {
-        Ok(body) => Answer::data(status, JSON, body),
+        Ok(body) => HttpResponse::data(status, JSON, body),
         Err(cause) => text(500, &cause.to_string()),
     }
 }
 
-fn text(status: u16, body: &str) -> Answer {
-    Answer::data(status, TEXT, body)
+fn text(status: u16, body: &str) -> HttpResponse {
+    HttpResponse::data(status, TEXT, body)
 }
 
 fn status_code(kind: ApiErrorKind) -> u16 {
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 
 use crate::options::ServerOptions;
-use crate::question::{MessageError, Question};
+use crate::request::{HttpRequest, MessageError};
 use crate::server::ServerHooks;
 
 /// How often an idle connection looks whether the server stops.
-const IDLE_CHECK: Duration = Duration::from_millis(100);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Answers the questions on `stream` until either side closes it or `stopping` is set.
 ///
@@ -26,24 +26,24 @@
 ) -> Result<(), MessageError> {
     hooks.connected();
     stream.set_nodelay(true)?;
-    let mut reader = BufReader::new(TimedStream::new(stream.try_clone()?));
-    let mut writer = TimedStream::new(stream);
-    while wait_for_question(&mut reader, options, stopping)? {
+    let mut reader = BufReader::new(DeadlineStream::new(stream.try_clone()?));
+    let mut writer = DeadlineStream::new(stream);
+    while wait_for_request(&mut reader, options, stopping)? {
         hooks.before_transfer();
-        reader.get_mut().allow(options.transfer);
-        writer.allow(options.transfer);
-        let question = match Question::read(&mut reader, &mut writer, options) {
-            Ok(question) => question,
-            Err(error) => return refuse(&mut writer, options, hooks, error),
+        reader.get_mut().set_timeout(options.transfer_timeout);
+        writer.set_timeout(options.transfer_timeout);
+        let request = match HttpRequest::read(&mut reader, &mut writer, options) {
+            Ok(request) => request,
+            Err(error) => return reject(&mut writer, options, hooks, error),
         };
-        let close = question.wants_close();
-        let answer = hooks.answer(question);
-        if answer.waits() {
+        let close = request.wants_close();
+        let response = hooks.respond(request);
+        if response.may_be_delayed() {
             hooks.before_transfer();
         }
         let close = close || stopping.load(Ordering::SeqCst);
-        writer.allow(options.transfer);
-        answer.write(&mut writer, close)?;
+        writer.set_timeout(options.transfer_timeout);
+        response.write(&mut writer, close)?;
         if close {
             return Ok(());
         }
@@ -52,21 +52,23 @@
 }
 
 /// Waits for the first byte; `false` when the peer closed, was silent for too long, or the server stops.
-fn wait_for_question(
-    reader: &mut BufReader<TimedStream>,
+fn wait_for_request(
+    reader: &mut BufReader<DeadlineStream>,
     options: &ServerOptions,
     stopping: &AtomicBool,
 ) -> Result<bool, MessageError> {
     let started = Instant::now();
     while !stopping.load(Ordering::SeqCst) {
-        let left = options
-            .idle
-            .map(|idle| idle.saturating_sub(started.elapsed()));
-        if left.is_some_and(|left| left.is_zero()) {
+        let remaining = options
+            .idle_timeout
+            .map(|idle_timeout| idle_timeout.saturating_sub(started.elapsed()));
+        if remaining.is_some_and(|remaining| remaining.is_zero()) {
             return Ok(false);
         }
-        let wait = left.map_or(IDLE_CHECK, |left| left.min(IDLE_CHECK));
-        reader.get_mut().allow(wait);
+        let wait = remaining.map_or(STOP_CHECK_INTERVAL, |remaining| {
+            remaining.min(STOP_CHECK_INTERVAL)
+        });
+        reader.get_mut().set_timeout(wait);
         match reader.fill_buf() {
             Ok(bytes) => return Ok(!bytes.is_empty()),
             Err(error) if is_timeout(&error) => {}
@@ -76,15 +78,17 @@
     Ok(false)
 }
 
-fn refuse<H: ServerHooks>(
-    writer: &mut TimedStream,
+fn reject<H: ServerHooks>(
+    writer: &mut DeadlineStream,
     options: &ServerOptions,
     hooks: &H,
     error: MessageError,
 ) -> Result<(), MessageError> {
     if let Some(status) = error.status() {
-        writer.allow(options.transfer);
-        hooks.refuse(status, &error).write(writer, true)?;
+        writer.set_timeout(options.transfer_timeout);
+        hooks
+            .respond_to_invalid(status, &error)
+            .write(writer, true)?;
     }
     Err(error)
 }
@@ -97,41 +101,41 @@
 }
 
 /// A stream whose reads and writes end at a set time, however many they are.
-struct TimedStream {
+struct DeadlineStream {
     stream: TcpStream,
-    until: Instant,
+    deadline: Instant,
 }
 
-impl TimedStream {
+impl DeadlineStream {
     fn new(stream: TcpStream) -> Self {
-        let until = Instant::now();
-        Self { stream, until }
+        let deadline = Instant::now();
+        Self { stream, deadline }
     }
 
     /// Reads and writes from now on end after `time`.
-    fn allow(&mut self, time: Duration) {
-        self.until = Instant::now() + time;
+    fn set_timeout(&mut self, time: Duration) {
+        self.deadline = Instant::now() + time;
     }
 
-    fn left(&self) -> io::Result<Option<Duration>> {
-        let left = self.until.saturating_duration_since(Instant::now());
-        match left.is_zero() {
+    fn remaining(&self) -> io::Result<Option<Duration>> {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        match remaining.is_zero() {
             true => Err(io::ErrorKind::TimedOut.into()),
-            false => Ok(Some(left)),
+            false => Ok(Some(remaining)),
         }
     }
 }
 
-impl Read for TimedStream {
+impl Read for DeadlineStream {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        self.stream.set_read_timeout(self.left()?)?;
+        self.stream.set_read_timeout(self.remaining()?)?;
         self.stream.read(buffer)
     }
 }
 
-impl Write for TimedStream {
+impl Write for DeadlineStream {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.stream.set_write_timeout(self.left()?)?;
+        self.stream.set_write_timeout(self.remaining()?)?;
         self.stream.write(bytes)
     }
 
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -5,14 +5,14 @@
 //!
 //! Invariant: a silent or slow peer holds one thread for a bounded time, and no other peer waits for it.
 
-mod answer;
 mod connection;
 mod options;
-mod question;
+mod request;
+mod response;
 mod server;
 
-pub use answer::Answer;
 pub use connection::serve;
 pub use options::ServerOptions;
-pub use question::{MessageError, Question};
+pub use request::{HttpRequest, MessageError};
+pub use response::HttpResponse;
 pub use server::{HttpServer, ServerHooks};
--- a/crates/http/src/options.rs
+++ b/crates/http/src/options.rs
@@ -16,9 +16,9 @@
     /// Largest body of a question in bytes.
     pub maximum_body: usize,
     /// Longest wait for a question on an open connection; without one a peer may stay silent.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// Longest time from a question's first byte to its last, and for an answer to be taken.
-    pub transfer: Duration,
+    pub transfer_timeout: Duration,
 }
 
 impl Default for ServerOptions {
@@ -28,8 +28,8 @@
             maximum_head: 32 << 10,
             maximum_headers: 100,
             maximum_body: 1 << 10,
-            idle: None,
-            transfer: Duration::from_secs(10),
+            idle_timeout: None,
+            transfer_timeout: Duration::from_secs(10),
         }
     }
 }
--- a/crates/http/src/question.rs
+++ b/crates/http/src/request.rs
@@ -49,7 +49,7 @@
 
 /// One request.
 #[derive(Debug)]
-pub struct Question {
+pub struct HttpRequest {
     /// HTTP method.
     pub method: String,
     /// Path without the query.
@@ -61,7 +61,7 @@
     pub body: Vec<u8>,
 }
 
-impl Question {
+impl HttpRequest {
     /// Reads one request within the bounds; asks on `writer` for a body that waits to be asked for.
     ///
     /// # Errors
@@ -72,24 +72,24 @@
         options: &ServerOptions,
     ) -> Result<Self, MessageError> {
         let head = read_head(reader, options.maximum_head)?;
-        let mut question = parse_head(&head, options.maximum_headers)?;
-        let length = question.body_length()?;
+        let mut request = parse_head(&head, options.maximum_headers)?;
+        let length = request.body_length()?;
         if length > options.maximum_body {
             return Err(MessageError::BodyTooLarge);
         }
-        if question.has("Expect", "100-continue") {
+        if request.header_equals("Expect", "100-continue") {
             writer.write_all(CONTINUE)?;
         }
-        question.body = vec![0; length];
-        reader.read_exact(&mut question.body)?;
-        Ok(question)
+        request.body = vec![0; length];
+        reader.read_exact(&mut request.body)?;
+        Ok(request)
     }
 
     fn body_length(&self) -> Result<usize, MessageError> {
         if self.header("Transfer-Encoding").is_some() {
             return Err(MessageError::LengthRequired);
         }
-        let mut lengths = self.values("Content-Length");
+        let mut lengths = self.header_values("Content-Length");
         let first = lengths.next();
         if lengths.any(|other| Some(other) != first) {
             return Err(MessageError::Malformed);
@@ -100,17 +100,20 @@
         }
     }
 
-    fn has(&self, name: &str, value: &str) -> bool {
+    fn header_equals(&self, name: &str, value: &str) -> bool {
         let found = self.header(name);
         found.is_some_and(|found| found.trim().eq_ignore_ascii_case(value))
     }
 
     /// A header's first value; names are compared without case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.values(name).next()
+        self.header_values(name).next()
     }
 
-    fn values<'a, 'b>(&'a self, name: &'b str) -> impl Iterator<Item = &'a str> + use<'a, 'b> {
+    fn header_values<'a, 'b>(
+        &'a self,
+        name: &'b str,
+    ) -> impl Iterator<Item = &'a str> + use<'a, 'b> {
         let headers = self.headers.iter();
         headers
             .filter(move |(known, _)| known.eq_ignore_ascii_case(name))
@@ -126,7 +129,7 @@
     }
 
     /// The query's parameter, parsed.
-    pub fn parsed<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
+    pub fn parse_parameter<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.parameter(name)?.parse().ok()
     }
 
@@ -137,7 +140,7 @@
 
     /// Whether the peer wants the connection closed after the answer.
     pub fn wants_close(&self) -> bool {
-        !self.keep_alive || self.has("Connection", "close")
+        !self.keep_alive || self.header_equals("Connection", "close")
     }
 }
 
@@ -165,7 +168,7 @@
     matches!(line, b"\r\n" | b"\n")
 }
 
-fn parse_head(head: &[u8], maximum_headers: usize) -> Result<Question, MessageError> {
+fn parse_head(head: &[u8], maximum_headers: usize) -> Result<HttpRequest, MessageError> {
     let mut headers = vec![httparse::EMPTY_HEADER; maximum_headers];
     let mut request = httparse::Request::new(&mut headers);
     let parsed = request.parse(head).map_err(|_| MessageError::Malformed)?;
@@ -178,7 +181,7 @@
         let value = std::str::from_utf8(header.value).map_err(|_| MessageError::Malformed)?;
         Ok((header.name.to_owned(), value.to_owned()))
     });
-    Ok(Question {
+    Ok(HttpRequest {
         method: method.to_owned(),
         path: path.to_owned(),
         query: query.to_owned(),
--- a/crates/http/src/answer.rs
+++ b/crates/http/src/response.rs
@@ -8,50 +8,50 @@
 
 /// One response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     status: u16,
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
     /// Leaves also while transfers are held back.
-    at_once: bool,
+    without_delay: bool,
 }
 
-impl Answer {
+impl HttpResponse {
     /// An empty answer with this status.
     pub fn new(status: u16) -> Self {
         Self {
             status,
             headers: Vec::new(),
             body: Vec::new(),
-            at_once: false,
+            without_delay: false,
         }
     }
 
     /// Lets the answer leave also while transfers are held back.
-    pub fn at_once(mut self) -> Self {
-        self.at_once = true;
+    pub fn without_delay(mut self) -> Self {
+        self.without_delay = true;
         self
     }
 
     /// Whether the answer waits while transfers are held back.
-    pub fn waits(&self) -> bool {
-        !self.at_once
+    pub fn may_be_delayed(&self) -> bool {
+        !self.without_delay
     }
 
     /// An answer of plain text.
     pub fn text(status: u16, text: impl ToString) -> Self {
-        let mut answer = Self::new(status).with("Content-Type", "text/plain");
-        answer.body = text.to_string().into_bytes();
-        answer
+        let mut response = Self::new(status).with_header("Content-Type", "text/plain");
+        response.body = text.to_string().into_bytes();
+        response
     }
 
     /// An answer of JSON with status 200.
     pub fn json(value: &impl Serialize) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => {
-                let mut answer = Self::new(200).with("Content-Type", "application/json");
-                answer.body = body;
-                answer
+                let mut response = Self::new(200).with_header("Content-Type", "application/json");
+                response.body = body;
+                response
             }
             Err(error) => Self::text(500, error),
         }
@@ -59,13 +59,13 @@
 
     /// An answer of these bytes.
     pub fn data(status: u16, content_type: &'static str, body: impl Into<Vec<u8>>) -> Self {
-        let mut answer = Self::new(status).with("Content-Type", content_type);
-        answer.body = body.into();
-        answer
+        let mut response = Self::new(status).with_header("Content-Type", content_type);
+        response.body = body.into();
+        response
     }
 
     /// The answer with one more header.
-    pub fn with(mut self, name: &'static str, value: impl ToString) -> Self {
+    pub fn with_header(mut self, name: &'static str, value: impl ToString) -> Self {
         self.headers.push((name, value.to_string()));
         self
     }
@@ -82,7 +82,7 @@
             bytes,
             "HTTP/1.1 {} {}\r\n",
             self.status,
-            reason(self.status)
+            reason_phrase(self.status)
         )?;
         for (name, value) in &self.headers {
             write!(bytes, "{name}: {value}\r\n")?;
@@ -97,7 +97,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         204 => "No Content",
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -9,16 +9,16 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use crate::answer::Answer;
 use crate::connection::serve;
 use crate::options::ServerOptions;
-use crate::question::{MessageError, Question};
+use crate::request::{HttpRequest, MessageError};
+use crate::response::HttpResponse;
 
 /// Longest wait of the stopping thread for its own connection, which wakes the accepting thread.
-const WAKE_TIME: Duration = Duration::from_millis(100);
+const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// What a server does with its connections.
 pub trait ServerHooks: Send + Sync + 'static {
@@ -27,10 +27,10 @@
     /// Called before anything is read or written; may wait.
     fn before_transfer(&self) {}
     /// Answers one question.
-    fn answer(&self, question: Question) -> Answer;
+    fn respond(&self, request: HttpRequest) -> HttpResponse;
     /// Answers what could not be read as a question.
-    fn refuse(&self, status: u16, error: &MessageError) -> Answer {
-        Answer::text(status, error)
+    fn respond_to_invalid(&self, status: u16, error: &MessageError) -> HttpResponse {
+        HttpResponse::text(status, error)
     }
 }
 
@@ -43,12 +43,12 @@
         H::before_transfer(self);
     }
 
-    fn answer(&self, question: Question) -> Answer {
-        H::answer(self, question)
+    fn respond(&self, request: HttpRequest) -> HttpResponse {
+        H::respond(self, request)
     }
 
-    fn refuse(&self, status: u16, error: &MessageError) -> Answer {
-        H::refuse(self, status, error)
+    fn respond_to_invalid(&self, status: u16, error: &MessageError) -> HttpResponse {
+        H::respond_to_invalid(self, status, error)
     }
 }
 
@@ -109,7 +109,7 @@
     pub fn stop(&self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
         // Wakes the accepting thread.
-        TcpStream::connect_timeout(&self.address, WAKE_TIME).ok();
+        TcpStream::connect_timeout(&self.address, WAKE_TIMEOUT).ok();
     }
 
     /// Stops, and waits until the address is free.
@@ -145,7 +145,7 @@
         shared.hooks.before_transfer();
         match accepted {
             Ok((stream, _)) => serve_in_thread(stream, shared),
-            Err(_) => std::thread::sleep(ACCEPT_PAUSE),
+            Err(_) => std::thread::sleep(ACCEPT_RETRY_DELAY),
         }
     }
 }
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -4,16 +4,16 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
 
-use grebepin_http::{Answer, HttpServer, Question, ServerHooks, ServerOptions};
+use grebepin_http::{HttpRequest, HttpResponse, HttpServer, ServerHooks, ServerOptions};
 
 /// Far longer than any step of a test takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Echo;
 
 impl ServerHooks for Echo {
-    fn answer(&self, question: Question) -> Answer {
-        Answer::data(200, "text/plain", question.body)
+    fn respond(&self, request: HttpRequest) -> HttpResponse {
+        HttpResponse::data(200, "text/plain", request.body)
     }
 }
 
@@ -24,12 +24,14 @@
 
 fn connect(server: &HttpServer<Echo>) -> TcpStream {
     let stream = TcpStream::connect(server.address()).expect("connects");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    stream
+        .set_read_timeout(Some(READ_TIMEOUT))
+        .expect("a timeout");
     stream
 }
 
-fn statuses(answer: &str) -> Vec<&str> {
-    let lines = answer.lines();
+fn statuses(response: &str) -> Vec<&str> {
+    let lines = response.lines();
     lines
         .filter_map(|line| line.strip_prefix("HTTP/1.1 "))
         .map(|line| &line[..3])
@@ -90,8 +92,8 @@
         // The server may close before all is written.
         stream.write_all(request.as_bytes()).ok();
         stream.shutdown(Shutdown::Write).ok();
-        let answer = read_to_close(&mut stream);
-        assert_eq!(statuses(&answer), expected, "{request}: {answer}");
+        let response = read_to_close(&mut stream);
+        assert_eq!(statuses(&response), expected, "{request}: {response}");
     }
     server.close();
 }
@@ -100,8 +102,8 @@
 fn silent_and_slow_peers_are_closed() {
     let short = Duration::from_millis(30);
     let server = start(ServerOptions {
-        idle: Some(short),
-        transfer: short,
+        idle_timeout: Some(short),
+        transfer_timeout: short,
         ..ServerOptions::default()
     });
     for start in [
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use grebepin_http::{Answer, HttpServer, Question, ServerHooks, ServerOptions};
+use grebepin_http::{HttpRequest, HttpResponse, HttpServer, ServerHooks, ServerOptions};
 use grebepin_schema::InForceRecord;
 use grebepin_telemetry::metrics::METRICS_CONTENT_TYPE;
 
@@ -47,7 +47,7 @@
         })?;
         let options = ServerOptions {
             connections: CONNECTION_LIMIT,
-            idle: Some(IDLE_LIMIT),
+            idle_timeout: Some(IDLE_LIMIT),
             ..ServerOptions::default()
         };
         let server = HttpServer::start(listener, options, Operators(shared))?;
@@ -68,29 +68,29 @@
 struct Operators(Arc<Shared>);
 
 impl ServerHooks for Operators {
-    fn answer(&self, question: Question) -> Answer {
+    fn respond(&self, request: HttpRequest) -> HttpResponse {
         let shared = &*self.0;
-        match (question.method.as_str(), question.path.as_str()) {
+        match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/metrics") => metrics(shared),
             ("GET", "/live") => probe(shared.control_silent_for() < LONGEST_CONTROL_SILENCE),
             ("GET", "/ready") => probe(shared.view().table.is_ready() && !shared.is_leaving()),
-            ("GET", "/v1/table-index") => Answer::json(&in_force(shared)),
-            _ => Answer::new(NOT_FOUND),
+            ("GET", "/v1/table-index") => HttpResponse::json(&in_force(shared)),
+            _ => HttpResponse::new(NOT_FOUND),
         }
     }
 }
 
-fn metrics(shared: &Shared) -> Answer {
+fn metrics(shared: &Shared) -> HttpResponse {
     match shared.registry.render() {
-        Ok(text) => Answer::data(OK, METRICS_CONTENT_TYPE, text),
-        Err(error) => Answer::data(INTERNAL, TEXT, error.to_string()),
+        Ok(text) => HttpResponse::data(OK, METRICS_CONTENT_TYPE, text),
+        Err(error) => HttpResponse::data(INTERNAL, TEXT, error.to_string()),
     }
 }
 
-fn probe(well: bool) -> Answer {
+fn probe(well: bool) -> HttpResponse {
     match well {
-        true => Answer::data(OK, TEXT, "ok\n"),
-        false => Answer::data(UNAVAILABLE, TEXT, "not ok\n"),
+        true => HttpResponse::data(OK, TEXT, "ok\n"),
+        false => HttpResponse::data(UNAVAILABLE, TEXT, "not ok\n"),
     }
 }
 
--- a/crates/standin/src/back_end/control_api.rs
+++ b/crates/standin/src/back_end/control_api.rs
@@ -12,33 +12,35 @@
 
 use super::node::Node;
 use super::Lie;
-use crate::http::{Answer, Question};
+use crate::http::{HttpRequest, HttpResponse};
 use crate::milliseconds;
 
 impl Node {
-    pub(crate) fn answer_control(&self, question: &Question) -> Answer {
-        let path = question.path.strip_prefix("/grebepin/v1/");
-        match (question.method.as_str(), path.unwrap_or_default()) {
-            ("POST", "heartbeat") => with_json(question, |request| self.heartbeat(request)),
-            ("POST", "grant") => with_json(question, |request| self.grant(request)),
-            ("POST", "release") => with_json(question, |request: ReleaseRequest| {
-                Answer::json(&self.with_holder(|holder, now| holder.release(now, &request)))
+    pub(crate) fn answer_control(&self, http_request: &HttpRequest) -> HttpResponse {
+        let path = http_request.path.strip_prefix("/grebepin/v1/");
+        match (http_request.method.as_str(), path.unwrap_or_default()) {
+            ("POST", "heartbeat") => with_json(http_request, |request| self.heartbeat(request)),
+            ("POST", "grant") => with_json(http_request, |request| self.grant(request)),
+            ("POST", "release") => with_json(http_request, |request: ReleaseRequest| {
+                HttpResponse::json(&self.with_holder(|holder, now| holder.release(now, &request)))
             }),
-            ("POST", "cancel") => with_json(question, |request| self.cancel(question, request)),
-            ("POST", "drain") => with_json(question, |request: DrainRequest| {
+            ("POST", "cancel") => {
+                with_json(http_request, |request| self.cancel(http_request, request))
+            }
+            ("POST", "drain") => with_json(http_request, |request: DrainRequest| {
                 self.drain(request.draining);
-                Answer::json(&request)
+                HttpResponse::json(&request)
             }),
-            ("GET", "holdings") => self.holdings(question),
-            ("GET", "handover") => self.handover(question),
-            ("GET", "outcome") => self.outcome(question),
+            ("GET", "holdings") => self.holdings(http_request),
+            ("GET", "handover") => self.handover(http_request),
+            ("GET", "outcome") => self.outcome(http_request),
             ("GET", "health") => self.probe(|| {
-                Answer::json(&HealthAnswer {
+                HttpResponse::json(&HealthAnswer {
                     state: self.health(),
                 })
             }),
-            ("GET", "load") => self.probe(|| Answer::json(&self.load())),
-            _ => Answer::text(404, "no such call"),
+            ("GET", "load") => self.probe(|| HttpResponse::json(&self.load())),
+            _ => HttpResponse::text(404, "no such call"),
         }
     }
 
@@ -60,99 +62,102 @@
     }
 
     /// `POST /stand-in/freeze?ms=N` and `POST /stand-in/lie?mode=none|idle|busy|failing`.
-    pub(crate) fn answer_switch(&self, question: &Question) -> Answer {
-        self.switch(question).at_once()
+    pub(crate) fn answer_switch(&self, http_request: &HttpRequest) -> HttpResponse {
+        self.switch(http_request).without_delay()
     }
 
-    fn switch(&self, question: &Question) -> Answer {
-        match (question.method.as_str(), question.path.as_str()) {
-            ("POST", "/stand-in/freeze") => match question.parsed("ms") {
+    fn switch(&self, http_request: &HttpRequest) -> HttpResponse {
+        match (http_request.method.as_str(), http_request.path.as_str()) {
+            ("POST", "/stand-in/freeze") => match http_request.parse_parameter("ms") {
                 Some(time) => {
                     self.faults.freeze(Duration::from_millis(time));
-                    Answer::text(200, "frozen once this answer has left")
+                    HttpResponse::text(200, "frozen once this answer has left")
                 }
-                None => Answer::text(400, "ms is missing"),
+                None => HttpResponse::text(400, "ms is missing"),
             },
             ("POST", "/stand-in/lie") => {
-                let mode = question.parameter("mode").unwrap_or_default();
+                let mode = http_request.parameter("mode").unwrap_or_default();
                 match Lie::from_str(&mode, true) {
                     Ok(lie) => {
                         self.faults.set_lie(lie);
-                        Answer::text(200, "set")
+                        HttpResponse::text(200, "set")
                     }
-                    Err(_) => Answer::text(400, "mode is none, idle, busy or failing"),
+                    Err(_) => HttpResponse::text(400, "mode is none, idle, busy or failing"),
                 }
             }
-            _ => Answer::text(404, "no such switch"),
+            _ => HttpResponse::text(404, "no such switch"),
         }
     }
 
-    fn heartbeat(&self, request: HeartbeatRequest) -> Answer {
+    fn heartbeat(&self, request: HeartbeatRequest) -> HttpResponse {
         if request.server != self.arguments.name {
-            return Answer::text(421, "another server listens here");
+            return HttpResponse::text(421, "another server listens here");
         }
-        Answer::json(&self.with_holder(|holder, now| holder.heartbeat(now, &request)))
+        HttpResponse::json(&self.with_holder(|holder, now| holder.heartbeat(now, &request)))
     }
 
-    fn grant(&self, request: GrantRequest) -> Answer {
+    fn grant(&self, request: GrantRequest) -> HttpResponse {
         let outcome = self.with_holder(|holder, now| holder.grant(now, &request));
         for fetch in outcome.fetch {
             self.fetches.put(fetch);
         }
-        Answer::json(&outcome.answer)
+        HttpResponse::json(&outcome.answer)
     }
 
-    fn cancel(&self, question: &Question, request: CancelRequest) -> Answer {
-        let attempt = question.header(headers::ATTEMPT);
+    fn cancel(&self, http_request: &HttpRequest, request: CancelRequest) -> HttpResponse {
+        let attempt = http_request.header(headers::ATTEMPT);
         let attempt = attempt.and_then(|text| text.parse().ok());
-        Answer::json(&self.with_holder(|holder, now| holder.cancel(now, &request, attempt)))
+        HttpResponse::json(&self.with_holder(|holder, now| holder.cancel(now, &request, attempt)))
     }
 
-    fn holdings(&self, question: &Question) -> Answer {
-        match question.parsed("group") {
-            Some(group) => {
-                Answer::json(&self.with_holder(|holder, now| holder.holdings(now, GroupId(group))))
-            }
-            None => Answer::text(400, "group is missing"),
+    fn holdings(&self, http_request: &HttpRequest) -> HttpResponse {
+        match http_request.parse_parameter("group") {
+            Some(group) => HttpResponse::json(
+                &self.with_holder(|holder, now| holder.holdings(now, GroupId(group))),
+            ),
+            None => HttpResponse::text(400, "group is missing"),
         }
     }
 
-    fn handover(&self, question: &Question) -> Answer {
-        let epoch = question.parsed("epoch").map(Epoch);
-        match (shard_key(question), epoch) {
-            (Some(key), Some(epoch)) => {
-                Answer::json(&self.with_holder(|holder, now| holder.handover(now, &key, epoch)))
-            }
-            _ => Answer::text(400, "service, shard or epoch is missing"),
+    fn handover(&self, http_request: &HttpRequest) -> HttpResponse {
+        let epoch = http_request.parse_parameter("epoch").map(Epoch);
+        match (shard_key(http_request), epoch) {
+            (Some(key), Some(epoch)) => HttpResponse::json(
+                &self.with_holder(|holder, now| holder.handover(now, &key, epoch)),
+            ),
+            _ => HttpResponse::text(400, "service, shard or epoch is missing"),
         }
     }
 
-    fn outcome(&self, question: &Question) -> Answer {
-        let id = question.parsed::<RequestId>("request_id");
-        match (shard_key(question), id) {
+    fn outcome(&self, http_request: &HttpRequest) -> HttpResponse {
+        let id = http_request.parse_parameter::<RequestId>("request_id");
+        match (shard_key(http_request), id) {
             (Some(key), Some(id)) => {
-                Answer::json(&self.with_holder(|holder, now| holder.outcome(now, &key, &id)))
+                HttpResponse::json(&self.with_holder(|holder, now| holder.outcome(now, &key, &id)))
             }
-            _ => Answer::text(400, "service, shard or request_id is missing"),
+            _ => HttpResponse::text(400, "service, shard or request_id is missing"),
         }
     }
 
-    fn probe(&self, answer: impl FnOnce() -> Answer) -> Answer {
+    fn probe(&self, answer: impl FnOnce() -> HttpResponse) -> HttpResponse {
         std::thread::sleep(milliseconds(self.arguments.probe_ms));
         answer()
     }
 }
 
-fn shard_key(question: &Question) -> Option<ShardKey> {
+fn shard_key(http_request: &HttpRequest) -> Option<ShardKey> {
     Some(ShardKey {
-        service: question.parsed::<ServiceName>("service")?,
-        shard: ShardId(question.parsed("shard")?),
+        service: http_request.parse_parameter::<ServiceName>("service")?,
+        shard: ShardId(http_request.parse_parameter("shard")?),
     })
 }
 
-fn with_json<T: DeserializeOwned>(question: &Question, answer: impl FnOnce(T) -> Answer) -> Answer {
-    match question.json() {
+fn with_json<T: DeserializeOwned>(
+    http_request: &HttpRequest,
+    answer: impl FnOnce(T) -> HttpResponse,
+) -> HttpResponse {
+    match http_request.json() {
         Ok(request) => answer(request),
-        Err(error) => Answer::text(400, error),
+        Err(error) => HttpResponse::text(400, error),
     }
 }
--- a/crates/standin/src/back_end/node.rs
+++ b/crates/standin/src/back_end/node.rs
@@ -17,7 +17,7 @@
 use super::slots::Slots;
 use super::{Args, Lie};
 use crate::history::HistoryWriter;
-use crate::http::{Answer, Question, ServerHooks};
+use crate::http::{HttpRequest, HttpResponse, ServerHooks};
 use crate::{lock, milliseconds};
 
 /// Boots stay below 2^53, so that any language's JSON numbers hold them.
@@ -154,12 +154,14 @@
         self.faults.wait_while_frozen();
     }
 
-    fn answer(&self, question: Question) -> Answer {
+    fn respond(&self, http_request: HttpRequest) -> HttpResponse {
         self.network_delay();
-        let answer = match question.path.starts_with("/grebepin/") {
-            true => self.answer_control(&question),
-            false if question.path.starts_with("/stand-in/") => self.answer_switch(&question),
-            false => self.serve(&question),
+        let answer = match http_request.path.starts_with("/grebepin/") {
+            true => self.answer_control(&http_request),
+            false if http_request.path.starts_with("/stand-in/") => {
+                self.answer_switch(&http_request)
+            }
+            false => self.serve(&http_request),
         };
         self.network_delay();
         answer
--- a/crates/standin/src/back_end/serving.rs
+++ b/crates/standin/src/back_end/serving.rs
@@ -10,7 +10,7 @@
 use super::node::Node;
 use super::slots::SlotRefusal;
 use super::ServiceDistribution;
-use crate::http::{Answer, Question};
+use crate::http::{HttpRequest, HttpResponse};
 use crate::{lock, milliseconds};
 
 /// Longest service time, whatever the distribution or the request says.
@@ -34,11 +34,11 @@
 }
 
 impl Node {
-    pub(crate) fn serve(&self, question: &Question) -> Answer {
+    pub(crate) fn serve(&self, http_request: &HttpRequest) -> HttpResponse {
         let arrived = Instant::now();
-        let request = match Request::from_headers(|name| question.header(name)) {
+        let request = match Request::from_headers(|name| http_request.header(name)) {
             Ok(request) => request,
-            Err(error) => return bad_request(question, &error),
+            Err(error) => return bad_request(http_request, &error),
         };
         let begun = self.with_holder(|holder, now| {
             let begun = holder.begin(now, &request)?;
@@ -50,10 +50,10 @@
         match begun {
             Err(refusal) => refuse(&request, refusal),
             Ok(Begun::RanEarlier) => self
-                .answer_to(&request, question)
-                .with(headers::RAN_EARLIER, true),
-            Ok(Begun::Run(permit)) => match self.run(arrived, &request, question, permit) {
-                Ok(()) => self.answer_to(&request, question),
+                .answer_to(&request, http_request)
+                .with_header(headers::RAN_EARLIER, true),
+            Ok(Begun::Run(permit)) => match self.run(arrived, &request, http_request, permit) {
+                Ok(()) => self.answer_to(&request, http_request),
                 Err(refusal) => refuse(&request, refusal),
             },
         }
@@ -63,12 +63,12 @@
         &self,
         arrived: Instant,
         request: &Request,
-        question: &Question,
+        http_request: &HttpRequest,
         permit: Permit,
     ) -> Result<(), Refusal> {
         let token = permit.token();
         lock(&self.running).insert(token, self.effect_record(request));
-        let result = self.wait_and_work(arrived, request, question, permit);
+        let result = self.wait_and_work(arrived, request, http_request, permit);
         lock(&self.running).remove(&token);
         if result.is_err() {
             self.record(HistoryEvent::WorkEnded(self.effect_record(request)));
@@ -80,7 +80,7 @@
         &self,
         arrived: Instant,
         request: &Request,
-        question: &Question,
+        http_request: &HttpRequest,
         permit: Permit,
     ) -> Result<(), Refusal> {
         let deadline = arrived + request.deadline_left;
@@ -94,7 +94,7 @@
                 });
             }
         };
-        std::thread::sleep(self.service_time(question));
+        std::thread::sleep(self.service_time(http_request));
         self.faults.wait_while_frozen();
         let result = self.make_effect(request, permit);
         drop(slot);
@@ -123,8 +123,8 @@
     }
 
     /// The mean or the request's own `work_ms`, spread and made longer while cold.
-    fn service_time(&self, question: &Question) -> Duration {
-        let stated = question.parsed("work_ms");
+    fn service_time(&self, http_request: &HttpRequest) -> Duration {
+        let stated = http_request.parse_parameter("work_ms");
         let mean = stated.unwrap_or(self.arguments.service_ms) * self.cold_factor();
         let chance: f64 = lock(&self.random).random();
         let time = match self.arguments.service_distribution {
@@ -147,31 +147,31 @@
         }
     }
 
-    fn answer_to(&self, request: &Request, question: &Question) -> Answer {
+    fn answer_to(&self, request: &Request, http_request: &HttpRequest) -> HttpResponse {
         let mut body = AnswerBody {
             server: self.arguments.name.clone(),
             request_id: request.request_id.clone(),
             key: request.key.clone(),
             epoch: request.epoch,
-            body_bytes: question.body.len(),
+            body_bytes: http_request.body.len(),
             padding: String::new(),
         };
         let size = serde_json::to_vec(&body).map_or(0, |bytes| bytes.len());
         body.padding = "-".repeat(self.arguments.answer_bytes.saturating_sub(size));
-        Answer::json(&body).with(headers::REQUEST_ID, request.request_id.as_str())
+        HttpResponse::json(&body).with_header(headers::REQUEST_ID, request.request_id.as_str())
     }
 }
 
-fn refuse(request: &Request, refusal: Refusal) -> Answer {
-    Answer::text(503, refusal)
-        .with(headers::REQUEST_ID, request.request_id.as_str())
-        .with(headers::REFUSAL, refusal)
+fn refuse(request: &Request, refusal: Refusal) -> HttpResponse {
+    HttpResponse::text(503, refusal)
+        .with_header(headers::REQUEST_ID, request.request_id.as_str())
+        .with_header(headers::REFUSAL, refusal)
 }
 
-fn bad_request(question: &Question, error: &headers::HeaderError) -> Answer {
-    let answer = Answer::text(400, error).with(headers::REFUSAL, Refusal::BadRequest);
-    match question.header(headers::REQUEST_ID) {
-        Some(id) => answer.with(headers::REQUEST_ID, id),
+fn bad_request(http_request: &HttpRequest, error: &headers::HeaderError) -> HttpResponse {
+    let answer = HttpResponse::text(400, error).with_header(headers::REFUSAL, Refusal::BadRequest);
+    match http_request.header(headers::REQUEST_ID) {
+        Some(id) => answer.with_header(headers::REQUEST_ID, id),
         None => answer,
     }
 }
--- a/crates/standin/src/contract/previous.rs
+++ b/crates/standin/src/contract/previous.rs
@@ -6,7 +6,7 @@
 
 use super::peer::request_id;
 use super::Breach;
-use crate::http::{Answer, HttpServer, Question, ServerHooks, ServerOptions};
+use crate::http::{HttpRequest, HttpResponse, HttpServer, ServerHooks, ServerOptions};
 
 /// Epoch that the previous owner held the shard at.
 const PREVIOUS_EPOCH: u64 = 7;
@@ -21,12 +21,12 @@
 }
 
 impl ServerHooks for Record {
-    fn answer(&self, question: Question) -> Answer {
-        let asked = question.path == "/grebepin/v1/handover"
-            && question.parsed("epoch") == Some(PREVIOUS_EPOCH);
+    fn respond(&self, request: HttpRequest) -> HttpResponse {
+        let asked = request.path == "/grebepin/v1/handover"
+            && request.parse_parameter("epoch") == Some(PREVIOUS_EPOCH);
         match asked {
-            true => Answer::json(&self.answer),
-            false => Answer::text(404, "only the hand-over of the epoch released"),
+            true => HttpResponse::json(&self.answer),
+            false => HttpResponse::text(404, "only the hand-over of the epoch released"),
         }
     }
 }
--- a/crates/standin/tests/callers.rs
+++ b/crates/standin/tests/callers.rs
@@ -11,7 +11,7 @@
     next_step, run_until, AfterUnknown, Args, AttemptResult, ClassSpec, ClassSpecError, NextStep,
     Plan, RepeatRules, Summary,
 };
-use grebepin_standin::http::{Answer, HttpServer, Question, ServerHooks, ServerOptions};
+use grebepin_standin::http::{HttpRequest, HttpResponse, HttpServer, ServerHooks, ServerOptions};
 
 #[derive(Parser)]
 struct Flags {
@@ -156,11 +156,11 @@
 }
 
 impl ServerHooks for ScriptedRouter {
-    fn answer(&self, question: Question) -> Answer {
-        let header = |name| question.header(name).unwrap_or_default().to_owned();
+    fn respond(&self, request: HttpRequest) -> HttpResponse {
+        let header = |name| request.header(name).unwrap_or_default().to_owned();
         let (id, key) = (header("Grebepin-Request-Id"), header("Grebepin-Key"));
-        if question.path == format!("/-/outcome/till/{id}") || question.path.starts_with("/-/") {
-            return Answer::json(&serde_json::json!({"state": "ran"}));
+        if request.path == format!("/-/outcome/till/{id}") || request.path.starts_with("/-/") {
+            return HttpResponse::json(&serde_json::json!({"state": "ran"}));
         }
         let number = id.split('.').next().unwrap_or_default().to_owned();
         let mut seen = self.seen.lock().unwrap();
@@ -169,19 +169,19 @@
         *place += 1;
         drop(seen);
         let owner = serde_json::json!({"server": "s", "request_id": id, "key": key, "epoch": 1,
-            "body_bytes": question.body.len(), "padding": ""});
+            "body_bytes": request.body.len(), "padding": ""});
         let crossed = serde_json::json!({"server": "s", "request_id": "other", "key": key,
             "epoch": 1, "body_bytes": 0, "padding": ""});
         let reject = serde_json::json!({"kind": "no-owner", "message": "m", "outcome": step,
             "retry_after_ms": 1});
         let (outcome, answer) = match step {
-            "answered" => (step, Answer::json(&owner)),
-            "crossed" => ("answered", Answer::json(&crossed)),
-            _ => (step, Answer::json(&reject)),
+            "answered" => (step, HttpResponse::json(&owner)),
+            "crossed" => ("answered", HttpResponse::json(&crossed)),
+            _ => (step, HttpResponse::json(&reject)),
         };
         answer
-            .with("Grebepin-Outcome", outcome)
-            .with("Grebepin-Request-Id", id)
+            .with_header("Grebepin-Outcome", outcome)
+            .with_header("Grebepin-Request-Id", id)
     }
 }
 
