--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,6 +1,7 @@
-//! Answers the questions of one connection until either side closes it.
+//! Serves the requests of one connection until either side closes it.
 //!
-//! Invariant: once the stop flag is set no further question is read, and every question read is answered.
+//! Invariant: once the stop flag is set no further request is read, and every request that was read gets a
+//! response.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -11,13 +12,13 @@
 use crate::request::{HttpRequest, MessageError};
 use crate::server::ServerHooks;
 
-/// How often an idle connection looks whether the server stops.
+/// Interval at which an idle connection checks the stop flag.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Answers the questions on `stream` until either side closes it or `stopping` is set.
+/// Serves the requests on `stream` until either side closes it or `stopping` is set.
 ///
 /// # Errors
-/// [`MessageError`] that ended the connection; the peer was told where it can be.
+/// [`MessageError`] that ended the connection. The peer gets a response first if the error has a status.
 pub fn serve<H: ServerHooks>(
     stream: TcpStream,
     options: &ServerOptions,
@@ -51,7 +52,8 @@
     Ok(())
 }
 
-/// Waits for the first byte; `false` when the peer closed, was silent for too long, or the server stops.
+/// Waits for the first byte of a request. Returns `false` if the peer closed the connection, the idle
+/// timeout expired or the server is stopping.
 fn wait_for_request(
     reader: &mut BufReader<DeadlineStream>,
     options: &ServerOptions,
@@ -100,7 +102,8 @@
     )
 }
 
-/// A stream whose reads and writes end at a set time, however many they are.
+/// Stream whose reads and writes fail once a deadline has passed, no matter how many calls they are spread
+/// over.
 struct DeadlineStream {
     stream: TcpStream,
     deadline: Instant,
@@ -112,7 +115,7 @@
         Self { stream, deadline }
     }
 
-    /// Reads and writes from now on end after `time`.
+    /// Sets the deadline to `time` from now.
     fn set_timeout(&mut self, time: Duration) {
         self.deadline = Instant::now() + time;
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! An HTTP/1.1 server with one thread for each connection, bounded in connections, bytes and time.
+//! HTTP/1.1 server with one thread per connection and limits on connections, message sizes and times.
 //!
-//! The library `rouille` bounds neither connections nor the time of a silent peer, and connections
-//! queue behind silent ones. Heads are parsed by the library `httparse`.
+//! The library `rouille` limits neither the number of connections nor the time of a silent peer, and further
+//! connections queue behind silent ones. Heads of requests are parsed by the library `httparse`.
 //!
 //! Invariant: a silent or slow peer holds one thread for a bounded time, and no other peer waits for it.
 
--- a/crates/http/src/options.rs
+++ b/crates/http/src/options.rs
@@ -1,23 +1,23 @@
-//! Bounds of a server.
+//! Limits of a server.
 //!
-//! Invariant: every size and every time from a question's first byte on has a bound.
+//! Invariant: every size has a limit, and so has every time from the first byte of a request on.
 
 use std::time::Duration;
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerOptions {
-    /// Connections open at once.
+    /// Maximum number of open connections; a connection beyond it is closed at once.
     pub connections: usize,
-    /// Largest head of a question in bytes.
+    /// Maximum size of a request head in bytes.
     pub maximum_head: usize,
-    /// Most header lines of a question.
+    /// Maximum number of header fields of a request.
     pub maximum_headers: usize,
-    /// Largest body of a question in bytes.
+    /// Maximum size of a request body in bytes.
     pub maximum_body: usize,
-    /// Longest wait for a question on an open connection; without one a peer may stay silent.
+    /// Longest wait for the first byte of a request on an open connection; unlimited if `None`.
     pub idle_timeout: Option<Duration>,
-    /// Longest time from a question's first byte to its last, and for an answer to be taken.
+    /// Longest time from the first to the last byte of a request, and longest time to send a response.
     pub transfer_timeout: Duration,
 }
 
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,7 +1,6 @@
-//! Reads questions.
+//! Requests and their parsing.
 //!
-//! Invariant: a head over its bound, a body over its bound or a body of unstated length is refused
-//! before it is read.
+//! Invariant: a head or body over its limit, or a body of unknown length, is rejected before it is read.
 
 use std::io::{self, BufRead, Read, Write};
 
@@ -11,31 +10,31 @@
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Why a question can't be read.
+/// Reason why no request could be read.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The peer closed before a question.
+    /// The peer closed the connection before sending a request.
     #[error("connection closed")]
     Closed,
-    /// The connection failed.
+    /// Reading or writing failed, or timed out.
     #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The bytes are no request.
+    /// The bytes are not a valid request.
     #[error("malformed message")]
     Malformed,
-    /// The head is over its bound.
+    /// The head exceeds [`ServerOptions::maximum_head`].
     #[error("head over the bound")]
     HeadTooLarge,
-    /// The body is over its bound.
+    /// The body exceeds [`ServerOptions::maximum_body`].
     #[error("body over the bound")]
     BodyTooLarge,
-    /// The body states no length, or one that is none.
+    /// The `Content-Length` is not a number of bytes, or the body has a transfer encoding.
     #[error("body without a Content-Length in bytes")]
     LengthRequired,
 }
 
 impl MessageError {
-    /// Status of the answer; none when there is nobody to answer.
+    /// Status code of the response; `None` if the connection can't carry one.
     pub fn status(&self) -> Option<u16> {
         match self {
             Self::Closed | Self::Io(_) => None,
@@ -47,25 +46,27 @@
     }
 }
 
-/// One request.
+/// An HTTP request.
 #[derive(Debug)]
 pub struct HttpRequest {
-    /// HTTP method.
+    /// Method in the request line, such as `GET`.
     pub method: String,
-    /// Path without the query.
+    /// Path of the request target, without the query; not percent-decoded.
     pub path: String,
     query: String,
     headers: Vec<(String, String)>,
     keep_alive: bool,
-    /// Body.
+    /// Body of the request; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl HttpRequest {
-    /// Reads one request within the bounds; asks on `writer` for a body that waits to be asked for.
+    /// Reads one request within the limits. Sends `100 Continue` on `writer` if the peer waits for it before
+    /// it sends the body.
     ///
     /// # Errors
-    /// [`MessageError`] when the peer closes, is too slow, or sends what is no request within bounds.
+    /// [`MessageError`] if the peer closes the connection, is too slow, or sends an invalid or too large
+    /// request.
     pub fn read(
         reader: &mut impl BufRead,
         writer: &mut impl Write,
@@ -105,7 +106,7 @@
         found.is_some_and(|found| found.trim().eq_ignore_ascii_case(value))
     }
 
-    /// A header's first value; names are compared without case.
+    /// First value of a header field; names are compared case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.header_values(name).next()
     }
@@ -120,7 +121,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// A parameter of the query.
+    /// Decoded value of the first query parameter with this name.
     pub fn parameter(&self, name: &str) -> Option<String> {
         let mut pairs = form_urlencoded::parse(self.query.as_bytes());
         pairs
@@ -128,17 +129,18 @@
             .map(|(_, value)| value.into_owned())
     }
 
-    /// The query's parameter, parsed.
+    /// Query parameter with this name, parsed; `None` if it is absent or can't be parsed.
     pub fn parse_parameter<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.parameter(name)?.parse().ok()
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 
-    /// Whether the peer wants the connection closed after the answer.
+    /// Whether the connection must be closed after the response: the request is older than HTTP/1.1 or has
+    /// `Connection: close`.
     pub fn wants_close(&self) -> bool {
         !self.keep_alive || self.header_equals("Connection", "close")
     }
@@ -163,7 +165,7 @@
     }
 }
 
-/// Whether a line has nothing but its end.
+/// Whether a line consists of its line end only.
 fn is_empty(line: &[u8]) -> bool {
     matches!(line, b"\r\n" | b"\n")
 }
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,23 +1,23 @@
-//! Writes answers.
+//! Responses and their encoding.
 //!
-//! Invariant: an answer leaves whole, with its length.
+//! Invariant: a response is sent completely, with a `Content-Length`.
 
 use std::io::{self, Write};
 
 use serde::Serialize;
 
-/// One response.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct HttpResponse {
     status: u16,
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
-    /// Leaves also while transfers are held back.
+    /// Whether the response is sent without another call of `ServerHooks::before_transfer`.
     without_delay: bool,
 }
 
 impl HttpResponse {
-    /// An empty answer with this status.
+    /// A response with this status code and an empty body.
     pub fn new(status: u16) -> Self {
         Self {
             status,
@@ -27,25 +27,27 @@
         }
     }
 
-    /// Lets the answer leave also while transfers are held back.
+    /// Sends the response without calling
+    /// [`ServerHooks::before_transfer`](crate::ServerHooks::before_transfer) again, which may wait.
     pub fn without_delay(mut self) -> Self {
         self.without_delay = true;
         self
     }
 
-    /// Whether the answer waits while transfers are held back.
+    /// Whether [`ServerHooks::before_transfer`](crate::ServerHooks::before_transfer) is called before the
+    /// response is sent.
     pub fn may_be_delayed(&self) -> bool {
         !self.without_delay
     }
 
-    /// An answer of plain text.
+    /// A response with a plain text body.
     pub fn text(status: u16, text: impl ToString) -> Self {
         let mut response = Self::new(status).with_header("Content-Type", "text/plain");
         response.body = text.to_string().into_bytes();
         response
     }
 
-    /// An answer of JSON with status 200.
+    /// A JSON response with status 200, or 500 with the error as text if the value can't be serialized.
     pub fn json(value: &impl Serialize) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => {
@@ -57,25 +59,25 @@
         }
     }
 
-    /// An answer of these bytes.
+    /// A response with this body and content type.
     pub fn data(status: u16, content_type: &'static str, body: impl Into<Vec<u8>>) -> Self {
         let mut response = Self::new(status).with_header("Content-Type", content_type);
         response.body = body.into();
         response
     }
 
-    /// The answer with one more header.
+    /// Adds a header field; a field with the same name is kept.
     pub fn with_header(mut self, name: &'static str, value: impl ToString) -> Self {
         self.headers.push((name, value.to_string()));
         self
     }
 
-    /// The body.
+    /// Body of the response.
     pub fn body(&self) -> &[u8] {
         &self.body
     }
 
-    /// Writes the answer in one go.
+    /// Encodes the response and sends it with a single write; `close` adds `Connection: close`.
     pub fn write(&self, stream: &mut impl Write, close: bool) -> io::Result<()> {
         let mut bytes = Vec::with_capacity(256 + self.body.len());
         write!(
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,6 +1,7 @@
-//! Accepts connections and answers their questions until it is told to stop.
+//! Accepts connections and serves their requests until the server is stopped.
 //!
-//! Invariant: after [`HttpServer::stop`] no further question is read, and every question read is answered.
+//! Invariant: after [`HttpServer::stop`] no further request is read, and every request that was read gets a
+//! response.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,21 +15,22 @@
 use crate::request::{HttpRequest, MessageError};
 use crate::response::HttpResponse;
 
-/// Longest wait of the stopping thread for its own connection, which wakes the accepting thread.
+/// Timeout of the connection that [`HttpServer::stop`] opens to wake the accept thread.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What a server does with its connections.
+/// Callbacks of a server, called on its accept thread and on the threads of its connections.
 pub trait ServerHooks: Send + Sync + 'static {
-    /// A connection was accepted.
+    /// Called on the thread of a new connection before anything is read.
     fn connected(&self) {}
-    /// Called before anything is read or written; may wait.
+    /// Called before the server handles an accepted connection, reads a request or sends a response. It may
+    /// block.
     fn before_transfer(&self) {}
-    /// Answers one question.
+    /// Returns the response to a request.
     fn respond(&self, request: HttpRequest) -> HttpResponse;
-    /// Answers what could not be read as a question.
+    /// Returns the response to a message that could not be read as a request.
     fn respond_to_invalid(&self, status: u16, error: &MessageError) -> HttpResponse {
         HttpResponse::text(status, error)
     }
@@ -59,7 +61,7 @@
     open: AtomicUsize,
 }
 
-/// A running server.
+/// A running HTTP server.
 pub struct HttpServer<H: ServerHooks> {
     shared: Arc<Shared<H>>,
     address: SocketAddr,
@@ -67,10 +69,10 @@
 }
 
 impl<H: ServerHooks> HttpServer<H> {
-    /// Starts to accept on `listener`.
+    /// Starts to accept connections on `listener`.
     ///
     /// # Errors
-    /// The system's error when it refuses a thread.
+    /// The operating system's error if the thread can't be started or the listener has no local address.
     pub fn start(listener: TcpListener, options: ServerOptions, hooks: H) -> io::Result<Self> {
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
@@ -90,36 +92,37 @@
         })
     }
 
-    /// Where it listens.
+    /// Address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it does with its connections.
+    /// Hooks that the server was started with.
     pub fn hooks(&self) -> &H {
         &self.shared.hooks
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         self.shared.open.load(Ordering::SeqCst)
     }
 
-    /// Takes no more questions; those being answered are answered.
+    /// Stops accepting connections and reading requests; requests that were read still get their responses.
+    /// Does not wait for them.
     pub fn stop(&self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
-        // Wakes the accepting thread.
+        // Wakes the accept thread.
         TcpStream::connect_timeout(&self.address, WAKE_TIMEOUT).ok();
     }
 
-    /// Stops, and waits until the address is free.
+    /// Stops the server and waits until it no longer listens; open connections may still be finishing.
     pub fn close(self) {
         self.stop();
         self.accepting.join().ok();
     }
 }
 
-/// Counts its connection until it is dropped, whatever ends the thread.
+/// Counts a connection as open until it is dropped, even if its thread panics.
 struct OpenConnection<H>(Arc<Shared<H>>);
 
 impl<H> OpenConnection<H> {
@@ -154,7 +157,7 @@
     let Some(open) = OpenConnection::admit(shared) else {
         return;
     };
-    // A connection without a thread is dropped, and the peer tries again.
+    // If no thread can be started the connection is closed, and the peer has to retry.
     std::thread::Builder::new()
         .name("connection".into())
         .spawn(move || {
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -1,4 +1,4 @@
-//! What the server answers and when it closes, over real sockets.
+//! Responses and closing of connections, tested over real sockets.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 
 use grebepin_http::{HttpRequest, HttpResponse, HttpServer, ServerHooks, ServerOptions};
 
-/// Far longer than any step of a test takes.
+/// Read timeout that no step of a test reaches unless the server hangs.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Echo;
@@ -18,15 +18,15 @@
 }
 
 fn start(options: ServerOptions) -> HttpServer<Echo> {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("listens");
-    HttpServer::start(listener, options, Echo).expect("starts")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the port is bound");
+    HttpServer::start(listener, options, Echo).expect("the server starts")
 }
 
 fn connect(server: &HttpServer<Echo>) -> TcpStream {
-    let stream = TcpStream::connect(server.address()).expect("connects");
+    let stream = TcpStream::connect(server.address()).expect("the server accepts");
     stream
         .set_read_timeout(Some(READ_TIMEOUT))
-        .expect("a timeout");
+        .expect("the timeout is set");
     stream
 }
 
@@ -38,18 +38,18 @@
         .collect()
 }
 
-/// Reads until the server closes; a reset counts as that, an elapsed time-out does not.
+/// Reads until the server closes the connection. A reset counts as closing; an expired timeout does not.
 fn read_to_close(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     if let Err(error) = stream.read_to_end(&mut bytes) {
         let reset = error.kind() == std::io::ErrorKind::ConnectionReset;
-        assert!(reset, "not closed in time: {error}");
+        assert!(reset, "the connection was not closed in time: {error}");
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
 #[test]
-fn bounds_and_forms_of_requests() {
+fn statuses_of_valid_malformed_and_oversized_requests() {
     let server = start(ServerOptions {
         maximum_head: 200,
         maximum_headers: 2,
@@ -89,7 +89,7 @@
     ];
     for (request, expected) in cases {
         let mut stream = connect(&server);
-        // The server may close before all is written.
+        // The server may close the connection before the whole request is written.
         stream.write_all(request.as_bytes()).ok();
         stream.shutdown(Shutdown::Write).ok();
         let response = read_to_close(&mut stream);
@@ -119,23 +119,24 @@
 }
 
 #[test]
-fn one_connection_over_the_bound_is_closed_and_others_go_on() {
+fn a_connection_over_the_limit_is_closed_and_others_continue() {
     let server = start(ServerOptions {
         connections: 1,
         ..ServerOptions::default()
     });
     let mut kept = connect(&server);
     let mut ask = || {
-        kept.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("writes");
+        kept.write_all(b"GET / HTTP/1.1\r\n\r\n")
+            .expect("the request is sent");
         let mut first = [0; 12];
-        kept.read_exact(&mut first).expect("an answer");
+        kept.read_exact(&mut first).expect("a response");
         assert_eq!(&first, b"HTTP/1.1 200");
     };
     ask();
     assert_eq!(server.open_connections(), 1);
     assert_eq!(read_to_close(&mut connect(&server)), "");
     server.stop();
-    // Stopped: the kept connection ends without being asked.
+    // The server is stopped: the idle connection is closed without another request.
     assert!(read_to_close(&mut kept).ends_with("\r\n\r\n"));
     server.close();
 }
