--- a/crates/storage/examples/storage_bench.rs
+++ b/crates/storage/examples/storage_bench.rs
@@ -1,5 +1,5 @@
-//! Measures storage over the real file system: batches synced a second, and the time to save a
-//! snapshot and to open a folder against its size.
+//! Measures storage on a real file system: synced batches per second, and the time to save a snapshot and to
+//! open a folder by its size.
 //!
 //! `cargo run --release -p grebepin-storage --example storage_bench -- [FOLDER]`
 
@@ -19,9 +19,9 @@
 const SNAPSHOT_BYTES: [usize; 3] = [1 << 20, 16 << 20, 128 << 20];
 const LOG_ENTRIES: [u64; 3] = [1_000, 10_000, 100_000];
 
-type Failure = Box<dyn std::error::Error>;
+type BenchError = Box<dyn std::error::Error>;
 
-fn main() -> Result<(), Failure> {
+fn main() -> Result<(), BenchError> {
     let parent = std::env::args_os().nth(1).map(PathBuf::from);
     let parent = parent.unwrap_or_else(std::env::temp_dir);
     println!(
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-fn measure_batches(parent: &Path, batch: u64) -> Result<(), Failure> {
+fn measure_batches(parent: &Path, batch: u64) -> Result<(), BenchError> {
     let folder = tempfile::tempdir_in(parent)?;
     let mut storage = new_storage(folder.path())?;
     let mut times = Histogram::<u64>::new(3)?;
@@ -68,11 +68,11 @@
     Ok(())
 }
 
-fn measure_snapshot(parent: &Path, bytes: usize) -> Result<(), Failure> {
+fn measure_snapshot(parent: &Path, bytes: usize) -> Result<(), BenchError> {
     let folder = tempfile::tempdir_in(parent)?;
     let mut storage = new_storage(folder.path())?;
     storage.persist(Some(&hard_state()), &entries(1, 1))?;
-    let data: Vec<u8> = (0..bytes).map(|at| at as u8 | 1).collect();
+    let data: Vec<u8> = (0..bytes).map(|offset| offset as u8 | 1).collect();
     let start = Instant::now();
     storage.save_snapshot(&snapshot_meta(), &data)?;
     let saved = start.elapsed();
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-fn measure_log(parent: &Path, count: u64) -> Result<(), Failure> {
+fn measure_log(parent: &Path, count: u64) -> Result<(), BenchError> {
     let folder = tempfile::tempdir_in(parent)?;
     let mut storage = new_storage(folder.path())?;
     let batch = 1_000;
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-fn open_ms(folder: &Path) -> Result<f64, Failure> {
+fn open_ms(folder: &Path) -> Result<f64, BenchError> {
     let start = Instant::now();
     let opened = ReplicaStorage::open(RealDisk::new(folder)?)?;
     let elapsed = start.elapsed();
@@ -108,7 +108,7 @@
     }
 }
 
-fn new_storage(folder: &Path) -> Result<ReplicaStorage<RealDisk>, Failure> {
+fn new_storage(folder: &Path) -> Result<ReplicaStorage<RealDisk>, BenchError> {
     let identity = Identity {
         replica: ReplicaId(1),
         group: GroupId(0),
--- a/crates/storage/src/creation.rs
+++ b/crates/storage/src/creation.rs
@@ -1,6 +1,6 @@
-//! Fills an empty folder.
+//! Creates the files of a replica in an empty folder.
 //!
-//! Invariant: until everything is durable the folder has a marker, and counts as empty.
+//! Invariant: the folder contains a marker, and counts as empty, until all files are durable.
 
 use grebepin_schema::{HardState, LogIndex, Term};
 
@@ -11,17 +11,18 @@
 use crate::segment::{write_file, write_segment, FileFrame, CREATING_FILE, IDENTITY_FILE};
 use crate::{snapshot_file, startup};
 
-/// Number of the first record.
-pub(crate) const FIRST_NUMBER: u64 = 0;
+/// Number of the first record of the log.
+pub(crate) const FIRST_RECORD_NUMBER: u64 = 0;
 const FIRST_SEGMENT: u64 = 1;
 
-/// Writes identity, initial snapshot and first segment. Returns that segment, open, and its length.
-pub(crate) fn fill<D: Disk>(
+/// Writes the identity, the initial snapshot and the first segment. Returns the open segment, its first
+/// record and its length in bytes.
+pub(crate) fn initialize<D: Disk>(
     disk: &mut D,
     identity: Identity,
     initial: Option<&Snapshot>,
 ) -> Result<(D::File, SegmentStart, u64), StorageError> {
-    if !startup::clear_unused(disk)? {
+    if !startup::clear_if_unused(disk)? {
         return Err(StorageError::NotEmpty);
     }
     write_file(disk, CREATING_FILE, &[])?;
@@ -40,7 +41,7 @@
             vote: None,
         },
     };
-    let (file, length) = write_segment(disk, &start, FIRST_NUMBER)?;
+    let (file, length) = write_segment(disk, &start, FIRST_RECORD_NUMBER)?;
     disk.remove(CREATING_FILE)
         .map_err(StorageError::disk(CREATING_FILE))?;
     disk.sync_dir().map_err(StorageError::disk(""))?;
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,95 +1,96 @@
-//! Errors of storage.
+//! Errors of storage operations.
 
 use grebepin_schema::LogIndex;
 
 use crate::disk::DiskError;
 
-/// What is wrong with a file.
+/// Kind of damage found in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// A file that must exist does not.
+    /// A required file does not exist.
     #[error("the file is missing")]
     Missing,
     /// The file is longer than storage ever writes.
     #[error("the file is too long")]
     TooLong,
     /// The file ends within a record that was synced.
-    #[error("the file ends too early")]
-    CutShort,
-    /// The checksum of a record's header is wrong.
-    #[error("a record's header does not match its checksum")]
+    #[error("the file ends within a synced record")]
+    Truncated,
+    /// A record's header has a wrong checksum, magic number or record kind.
+    #[error("a record has an invalid header")]
     Header,
-    /// The checksum of a record's body is wrong.
+    /// A record's body does not match its checksum, or the terminator after it is missing.
     #[error("a record's body does not match its checksum")]
     Body,
-    /// The record's body is no value of the expected type.
-    #[error("a record does not decode")]
+    /// The body of a record does not decode to the expected type.
+    #[error("a record cannot be decoded")]
     Undecodable,
-    /// A record is not the one that must follow the record before it.
+    /// A record's number does not follow the number of the record before it.
     #[error("a record is out of sequence")]
-    Sequence,
-    /// The log's entries do not follow each other.
-    #[error("the log's entries do not follow each other")]
+    OutOfSequence,
+    /// The indexes of the entries in the log are not contiguous.
+    #[error("the log has a gap between its entries")]
     EntryGap,
-    /// Bytes follow the last record that the file should have.
-    #[error("the file has bytes after its end")]
-    Trailing,
-    /// Two files disagree on whose folder this is, or on the snapshot in force.
-    #[error("the file belongs to something else")]
+    /// The file has bytes after its last record.
+    #[error("the file has trailing bytes after its last record")]
+    TrailingBytes,
+    /// The file belongs to another replica or group, or its content does not match its name.
+    #[error("the file belongs to another replica, or its content does not match its name")]
     Mismatch,
 }
 
-/// Why storage refused or failed.
+/// A storage operation was refused or failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// A disk operation failed. After a failed write storage takes no more; open it anew.
+    /// A disk operation failed. After a failed write all further writes are refused until storage is opened
+    /// again.
     #[error("{file}: {source}")]
     Disk {
-        /// File or, for operations on the folder, an empty name.
+        /// Name of the file; empty for operations on the folder.
         file: String,
-        /// Cause.
+        /// Error of the disk.
         source: DiskError,
     },
     /// A file is damaged; the replica must not run under this identity.
     #[error("{file} is damaged at byte {offset}: {reason}")]
     Damaged {
-        /// File.
+        /// Name of the file.
         file: String,
-        /// Offset in bytes.
+        /// Offset of the damaged record in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Kind of damage.
         reason: Damage,
     },
-    /// The folder already holds a replica.
+    /// A replica can only be created in an empty folder.
     #[error("the folder already holds a replica")]
     NotEmpty,
-    /// The replica belongs to a founded group already.
+    /// A replica can be founded only once.
     #[error("the replica belongs to a founded group already")]
     AlreadyFounded,
-    /// An earlier write failed, so what is on disk is not known; open storage anew.
-    #[error("an earlier write failed")]
+    /// An earlier write failed, so the state on disk is unknown until storage is opened again.
+    #[error("an earlier write failed; storage must be opened again")]
     Poisoned,
-    /// An entry does not follow the log.
-    #[error("entry {found} does not follow the log, which takes {lowest} to {highest}")]
+    /// An entry's index leaves a gap in the log or is covered by the snapshot.
+    #[error("entry {found} cannot be appended; the log accepts indexes {lowest} to {highest}")]
     Gap {
-        /// Lowest index the log would take.
+        /// Lowest index the log accepts.
         lowest: LogIndex,
-        /// Highest index the log would take.
+        /// Highest index the log accepts.
         highest: LogIndex,
-        /// Index found.
+        /// Rejected index.
         found: LogIndex,
     },
-    /// A snapshot stands outside of what the log allows.
-    #[error("a snapshot at {found} is outside of {lowest} to {highest}")]
-    SnapshotOutside {
+    /// A snapshot's index is outside the allowed range.
+    #[error("snapshot index {found} is outside {lowest} to {highest}")]
+    SnapshotOutOfRange {
         /// Lowest index a snapshot may have.
         lowest: LogIndex,
         /// Highest index a snapshot may have.
         highest: LogIndex,
-        /// Index found.
+        /// Rejected index.
         found: LogIndex,
     },
-    /// A record is too large to be written.
+    /// A record exceeds the size limit.
     #[error("record of {bytes} bytes is over the limit of {limit}")]
     TooLarge {
         /// Size in bytes.
@@ -98,7 +99,7 @@
         limit: u64,
     },
     /// A record could not be encoded.
-    #[error("record does not encode: {0}")]
+    #[error("record cannot be encoded: {0}")]
     Encode(#[from] rmp_serde::encode::Error),
 }
 
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Turns a disk's error into one that names the file.
+    /// Returns a function that adds the name of the file to a disk error.
     pub(crate) fn disk(file: &str) -> impl FnOnce(DiskError) -> Self + '_ {
         move |source| Self::Disk {
             file: file.to_owned(),
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Like [`Self::disk`], for files that must exist and be within their limit.
+    /// Like [`Self::disk`], but reports a missing or too long file as damage.
     pub(crate) fn required(file: &str) -> impl FnOnce(DiskError) -> Self + '_ {
         move |source| match source {
             DiskError::NotFound => Self::damaged(file, 0, Damage::Missing),
--- a/crates/storage/src/guards.rs
+++ b/crates/storage/src/guards.rs
@@ -1,27 +1,27 @@
-//! Guards of storage that a test may take out to show that the checks notice.
+//! Safety measures of storage that tests can disable, to verify that the checks detect their absence.
 //!
-//! Invariant: without the feature `removable-guards` every guard is on.
+//! Invariant: without the feature `removable-guards` every guard is enabled.
 
-/// A guard of storage.
+/// A safety measure that can be disabled in tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// Syncs the log before `persist` returns.
+    /// Syncs the log before [`crate::ReplicaStorage::persist`] returns.
     Sync,
 }
 
-/// The guards in force.
+/// The set of enabled guards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     sync: bool,
 }
 
 impl Guards {
-    /// Every guard on.
+    /// Enables every guard.
     pub fn all() -> Self {
         Self { sync: true }
     }
 
-    /// Every guard on except one.
+    /// Enables every guard except one.
     #[cfg(feature = "removable-guards")]
     pub fn without(guard: Guard) -> Self {
         match guard {
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,9 +1,9 @@
 //! Durable log, snapshots and identity of a control replica.
 //!
-//! Invariant: after [`ReplicaStorage::persist`] returns, no crash loses what was handed to it; and a
-//! folder that is damaged is refused with a typed error instead of coming back with less.
+//! Invariant: what was passed to [`ReplicaStorage::persist`] survives any crash after the call returned. A
+//! damaged folder is refused with a typed error; it is never opened with a part of its content.
 //!
-//! The layout of the files is described in `docs/design/storage.md`.
+//! The file formats are described in `docs/design/storage.md`.
 
 mod creation;
 mod disk;
--- a/crates/storage/src/real_disk.rs
+++ b/crates/storage/src/real_disk.rs
@@ -1,4 +1,4 @@
-//! A folder of the machine's file system, locked against a second process.
+//! A folder of the file system, locked against use by a second process.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{ErrorKind, Read, Write};
@@ -8,7 +8,7 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// A folder; the lock on it is held until this value is dropped.
+/// A folder of the file system. Its lock is held until this value is dropped.
 #[derive(Debug)]
 pub struct RealDisk {
     path: PathBuf,
@@ -21,10 +21,10 @@
 pub struct RealFile(File);
 
 impl RealDisk {
-    /// Opens the folder, which is made when it is missing, and locks it.
+    /// Opens the folder, creating it if it is missing, and locks it.
     ///
     /// # Errors
-    /// [`DiskError::Locked`] when another process holds the lock.
+    /// [`DiskError::Locked`] if another process holds the lock.
     pub fn new(path: impl AsRef<Path>) -> Result<Self, DiskError> {
         let path = path.as_ref().to_owned();
         create_folder(&path)?;
@@ -45,15 +45,15 @@
         })
     }
 
-    /// The folder.
+    /// Path of the folder as it was passed to [`Self::new`].
     pub fn path(&self) -> &Path {
         &self.path
     }
 }
 
-/// Makes the folder and those above it that are missing, and makes their names durable.
+/// Creates the folder and its missing parents, and makes their names durable.
 fn create_folder(path: &Path) -> Result<(), DiskError> {
-    // The last ancestor of a relative path is empty and stands for the present folder.
+    // The last ancestor of a relative path is empty and denotes the working directory.
     let is_missing = |one: &&Path| !one.as_os_str().is_empty() && !one.exists();
     let missing: Vec<&Path> = path.ancestors().take_while(is_missing).collect();
     fs::create_dir_all(path)?;
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,22 +1,22 @@
-//! The values that stand in frames.
+//! The values that are stored in frames. Their fields are written by name.
 
 use grebepin_schema::{ClusterId, Entry, GroupId, HardState, ReplicaId, SnapshotMeta};
 use serde::{Deserialize, Serialize};
 
 use crate::error::{Damage, StorageError};
 
-/// Whose folder this is.
+/// The replica, group and cluster that a folder belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The replica; never used again once the folder is lost.
+    /// Id of the replica; never reused after the folder was lost.
     pub replica: ReplicaId,
-    /// Its control group.
+    /// Group of replicas that it belongs to.
     pub group: GroupId,
-    /// Founding the replica belongs to; absent until it was founded or joined.
+    /// Id that the group was given when it was founded; absent until the replica is founded or has joined.
     pub cluster: Option<ClusterId>,
 }
 
-/// What the identity file holds: the part of the identity that never changes.
+/// Content of the identity file: the part of the identity that never changes.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FixedIdentity {
@@ -24,24 +24,25 @@
     pub group: GroupId,
 }
 
-/// First record of a log segment: everything that was in force when it was started. The newest one
-/// decides which snapshot and which segments count, so that starting a segment is one atomic step.
+/// First record of a log segment: the state at the time the segment was started. The record of the newest
+/// segment determines the current snapshot and the segments of the log, so that both change atomically when a
+/// segment is started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct SegmentStart {
     /// Number of this segment, from 1.
     pub segment: u64,
-    /// Oldest segment whose entries count.
+    /// Number of the oldest segment of the log.
     pub oldest_segment: u64,
-    /// Whose folder this is.
+    /// The replica, group and cluster that the folder belongs to.
     pub identity: Identity,
-    /// Segment that the snapshot in force was written for.
+    /// Segment number in the name of the current snapshot; absent without a snapshot.
     pub snapshot: Option<u64>,
-    /// Hard state in force.
+    /// Hard state at the time the segment was started.
     pub hard_state: HardState,
 }
 
-/// One batch of the log.
+/// A batch of the log, as it is read.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Batch {
@@ -49,14 +50,14 @@
     pub entries: Vec<Entry>,
 }
 
-/// A batch that is written.
+/// A batch of the log, as it is written; must have the fields of [`Batch`].
 #[derive(Serialize)]
 pub(crate) struct BatchView<'a> {
     pub hard_state: Option<&'a HardState>,
     pub entries: &'a [Entry],
 }
 
-/// A snapshot with its data.
+/// Metadata and data of a snapshot.
 pub(crate) type Snapshot = (SnapshotMeta, Vec<u8>);
 
 pub(crate) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StorageError> {
--- a/crates/storage/src/replay.rs
+++ b/crates/storage/src/replay.rs
@@ -1,7 +1,7 @@
-//! Reads the log's segments back.
+//! Reads the segments of the log.
 //!
-//! Invariant: only the end of the newest segment may be cut, and only where a write was under way; any
-//! other fault is damage, since it stands where bytes were synced.
+//! Invariant: only an unfinished write at the end of the newest segment is removed. Every other invalid
+//! record is reported as damage, because it lies within bytes that were synced.
 
 use std::collections::BTreeSet;
 
@@ -9,23 +9,23 @@
 
 use crate::disk::Disk;
 use crate::error::{Damage, StorageError};
-use crate::frame::{self, Frame, FrameFault, FrameKind};
+use crate::frame::{self, Frame, FrameError, FrameKind};
 use crate::record::{self, Batch, SegmentStart};
 use crate::segment::segment_name;
-use crate::snapshot_file::{damage_of, read_frame};
+use crate::snapshot_file::{damage_from, read_frame};
 
 /// Largest encoded batch in bytes.
 pub(crate) const MAXIMUM_BATCH_BYTES: u64 = 256 << 20;
-/// Largest size in bytes at which a segment still takes a batch.
+/// Upper bound in bytes of the segment size limit: a larger segment accepts no further batch.
 pub(crate) const MAXIMUM_SEGMENT_BYTES: u64 = 64 << 20;
 const MAXIMUM_FILE_BYTES: u64 =
     MAXIMUM_SEGMENT_BYTES + MAXIMUM_BATCH_BYTES + frame::FRAME_OVERHEAD_BYTES as u64;
 
-/// A segment that counts.
+/// A segment of the current log.
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentInfo {
     pub segment: u64,
-    /// Highest index of any entry in it, also of entries cut later.
+    /// Highest index of any entry in the segment, including entries that were replaced later.
     pub highest: Option<LogIndex>,
 }
 
@@ -38,28 +38,28 @@
     }
 }
 
-/// Where the newest segment ends.
+/// End of the valid records of a segment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LogEnd {
-    /// Bytes that count.
+    /// Length of the valid records in bytes.
     pub length: u64,
-    /// Bytes after them, of a write that a crash cut.
+    /// Number of bytes of an unfinished write after them.
     pub torn_bytes: u64,
 }
 
-/// The log as read.
+/// The log and the state restored from its segments.
 pub(crate) struct Replay {
     /// First record of the newest segment.
     pub start: SegmentStart,
     pub segments: Vec<SegmentInfo>,
     pub hard_state: HardState,
-    /// All entries, also those that a snapshot covers.
+    /// All entries, including those that the snapshot covers.
     pub entries: Vec<Entry>,
-    pub last_number: u64,
+    pub last_record_number: u64,
     pub end: LogEnd,
 }
 
-/// Reads every segment that counts, of those that exist.
+/// Reads the segments from the oldest that the newest one refers to up to the newest of `existing`.
 pub(crate) fn replay<D: Disk>(disk: &D, existing: &BTreeSet<u64>) -> Result<Replay, StorageError> {
     let Some(&newest) = existing.last() else {
         let name = segment_name(1);
@@ -67,7 +67,7 @@
     };
     let mut bytes = read_file(disk, newest)?;
     let start = read_start(newest, &bytes)?.0;
-    let mut reader = Reader::new(&start);
+    let mut reader = LogReader::new(&start);
     for segment in start.oldest_segment..newest {
         reader.read_segment(segment, &read_file(disk, segment)?, false)?;
     }
@@ -77,7 +77,7 @@
         segments: reader.segments,
         hard_state: reader.hard_state,
         entries: reader.entries,
-        last_number: reader.last_number.unwrap_or(0),
+        last_record_number: reader.last_record_number.unwrap_or(0),
         end,
         start,
     })
@@ -99,22 +99,22 @@
     Ok((start, frame))
 }
 
-struct Reader<'a> {
+struct LogReader<'a> {
     newest: &'a SegmentStart,
     segments: Vec<SegmentInfo>,
     hard_state: HardState,
     entries: Vec<Entry>,
-    last_number: Option<u64>,
+    last_record_number: Option<u64>,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> LogReader<'a> {
     fn new(newest: &'a SegmentStart) -> Self {
         Self {
             newest,
             segments: Vec::new(),
             hard_state: newest.hard_state.clone(),
             entries: Vec::new(),
-            last_number: None,
+            last_record_number: None,
         }
     }
 
@@ -132,13 +132,13 @@
         let mut offset = frame.end;
         while offset < bytes.len() {
             match frame::read(bytes, offset, FrameKind::Batch) {
-                Ok(frame) => offset = self.take_batch(&name, offset, &frame)?,
+                Ok(frame) => offset = self.read_batch(&name, offset, &frame)?,
                 Err(fault) if may_be_torn && is_torn(bytes, offset, fault) => break,
                 Err(fault) => {
                     return Err(StorageError::damaged(
                         &name,
                         offset as u64,
-                        damage_of(fault),
+                        damage_from(fault),
                     ))
                 }
             }
@@ -159,38 +159,52 @@
         if !same_replica || start.identity.group != self.newest.identity.group {
             return Err(StorageError::damaged(name, 0, Damage::Mismatch));
         }
-        self.take_number(name, 0, number)
+        self.check_record_number(name, 0, number)
     }
 
-    fn take_number(&mut self, name: &str, offset: usize, number: u64) -> Result<(), StorageError> {
+    fn check_record_number(
+        &mut self,
+        name: &str,
+        offset: usize,
+        number: u64,
+    ) -> Result<(), StorageError> {
         let follows = self
-            .last_number
+            .last_record_number
             .is_none_or(|last| last.checked_add(1) == Some(number));
         if !follows {
-            return Err(StorageError::damaged(name, offset as u64, Damage::Sequence));
+            return Err(StorageError::damaged(
+                name,
+                offset as u64,
+                Damage::OutOfSequence,
+            ));
         }
-        self.last_number = Some(number);
+        self.last_record_number = Some(number);
         Ok(())
     }
 
-    fn take_batch(
+    fn read_batch(
         &mut self,
         name: &str,
         offset: usize,
         frame: &Frame<'_>,
     ) -> Result<usize, StorageError> {
-        self.take_number(name, offset, frame.number)?;
+        self.check_record_number(name, offset, frame.number)?;
         let batch: Batch = record::decode(name, offset, frame.body)?;
         if let Some(hard_state) = batch.hard_state {
             self.hard_state = hard_state;
         }
         for entry in batch.entries {
-            self.take_entry(name, offset, entry)?;
+            self.append_entry(name, offset, entry)?;
         }
         Ok(frame.end)
     }
 
-    fn take_entry(&mut self, name: &str, offset: usize, entry: Entry) -> Result<(), StorageError> {
+    fn append_entry(
+        &mut self,
+        name: &str,
+        offset: usize,
+        entry: Entry,
+    ) -> Result<(), StorageError> {
         if let Some(info) = self.segments.last_mut() {
             info.highest = info.highest.max(Some(entry.index));
         }
@@ -208,18 +222,18 @@
     }
 }
 
-/// Whether a fault in the newest segment is a write that a crash cut: the file ends within it, or some
-/// sector of it was never written, and nothing that was written later follows.
-fn is_torn(bytes: &[u8], offset: usize, fault: FrameFault) -> bool {
+/// Whether an invalid record in the newest segment is an unfinished write: the file ends within the record,
+/// or one of its sectors was never written and no record that was written later follows.
+fn is_torn(bytes: &[u8], offset: usize, fault: FrameError) -> bool {
     let end = match fault {
-        FrameFault::Short => return true,
-        FrameFault::Header => bytes.len(),
-        FrameFault::Body { end } => end,
+        FrameError::Truncated => return true,
+        FrameError::Header => bytes.len(),
+        FrameError::Body { end } => end,
     };
     let search_from = match fault {
-        FrameFault::Body { end } => end - 1,
+        FrameError::Body { end } => end - 1,
         _ => offset,
     };
     frame::has_unwritten_sector(bytes, offset..end)
-        && !frame::any_after(bytes, search_from, FrameKind::Batch)
+        && !frame::has_frame_after(bytes, search_from, FrameKind::Batch)
 }
--- a/crates/storage/src/replica_storage.rs
+++ b/crates/storage/src/replica_storage.rs
@@ -1,7 +1,7 @@
-//! Writes the log and snapshots of one replica.
+//! Writes the log and the snapshots of one replica.
 //!
-//! Invariant: a batch is acknowledged only after its one sync; after any failed write nothing more is
-//! taken, since what reached the disk is not known.
+//! Invariant: [`ReplicaStorage::persist`] returns success only after the batch was synced. After a failed write
+//! every further write is refused, because it is unknown which bytes reached the disk.
 
 use grebepin_schema::{ClusterId, Entry, HardState, LogIndex, SnapshotMeta};
 
@@ -18,10 +18,10 @@
 
 const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 
-/// Bounds on files.
+/// Limits on the size of files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Size in bytes from which on a batch starts a new segment; at most 64 MiB.
+    /// Size in bytes at which the next batch starts a new segment; capped at 64 MiB.
     pub segment_bytes: u64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Durable state of one replica.
+/// Durable log, snapshot and identity of one replica.
 pub struct ReplicaStorage<D: Disk> {
     disk: D,
     file: D::File,
@@ -41,41 +41,41 @@
     segments: Vec<SegmentInfo>,
     hard_state: HardState,
     snapshot_index: LogIndex,
-    last: LogIndex,
-    next_number: u64,
+    last_index: LogIndex,
+    next_record_number: u64,
     length: u64,
     poisoned: bool,
     guards: Guards,
     limits: Limits,
 }
 
-/// What a new segment changes besides its number.
-struct Change {
+/// State in the first record of a new segment that may differ from the previous segment.
+struct SegmentChange {
     identity: Identity,
     oldest_segment: u64,
     snapshot: Option<u64>,
 }
 
 impl<D: Disk> ReplicaStorage<D> {
-    /// Opens a folder and reads back all that counts.
+    /// Opens a folder and reads the identity, the snapshot and the log.
     ///
     /// # Errors
-    /// [`StorageError::Damaged`] for a folder that lost or changed synced bytes; such a replica must not
-    /// run under its old identity.
+    /// [`StorageError::Damaged`] if synced bytes were lost or changed. The replica must not run under its old
+    /// identity then, because it may have lost a vote or acknowledged entries.
     pub fn open(disk: D) -> Result<Opened<D>, StorageError> {
         startup::open(disk)
     }
 
-    /// Fills an empty folder; the identity and the initial snapshot are durable when it returns.
+    /// Creates a replica in an empty folder. The identity and the initial snapshot are durable on return.
     ///
     /// # Errors
-    /// [`StorageError::NotEmpty`] when the folder holds a replica, even a damaged one.
+    /// [`StorageError::NotEmpty`] if the folder holds a replica, even a damaged one.
     pub fn create(
         mut disk: D,
         identity: Identity,
         initial: Option<(SnapshotMeta, Vec<u8>)>,
     ) -> Result<Self, StorageError> {
-        let (file, start, length) = creation::fill(&mut disk, identity, initial.as_ref())?;
+        let (file, start, length) = creation::initialize(&mut disk, identity, initial.as_ref())?;
         let snapshot_index = initial.map_or(LogIndex(0), |(meta, _)| meta.index);
         Ok(Self {
             disk,
@@ -83,8 +83,8 @@
             segments: vec![SegmentInfo::new(start.segment)],
             hard_state: start.hard_state.clone(),
             snapshot_index,
-            last: snapshot_index,
-            next_number: creation::FIRST_NUMBER + 1,
+            last_index: snapshot_index,
+            next_record_number: creation::FIRST_RECORD_NUMBER + 1,
             length,
             poisoned: false,
             guards: Guards::all(),
@@ -98,7 +98,7 @@
         file: D::File,
         replay: Replay,
         snapshot_index: LogIndex,
-        last: LogIndex,
+        last_index: LogIndex,
     ) -> Self {
         Self {
             disk,
@@ -106,8 +106,8 @@
             segments: replay.segments,
             hard_state: replay.hard_state,
             snapshot_index,
-            last,
-            next_number: replay.last_number.saturating_add(1),
+            last_index,
+            next_record_number: replay.last_record_number.saturating_add(1),
             length: replay.end.length,
             poisoned: false,
             guards: Guards::all(),
@@ -116,49 +116,50 @@
         }
     }
 
-    /// The same storage with these guards.
+    /// Sets the enabled guards; by default all of them.
     pub fn with_guards(mut self, guards: Guards) -> Self {
         self.guards = guards;
         self
     }
 
-    /// The same storage with these limits.
+    /// Sets the size limits; they apply from the next batch on.
     pub fn with_limits(mut self, limits: Limits) -> Self {
         self.limits.segment_bytes = limits.segment_bytes.min(MAXIMUM_SEGMENT_BYTES);
         self
     }
 
-    /// Whose folder this is.
+    /// The replica, group and cluster that the folder belongs to.
     pub fn identity(&self) -> &Identity {
         &self.start.identity
     }
 
-    /// Hard state last persisted.
+    /// The last persisted hard state.
     pub fn hard_state(&self) -> &HardState {
         &self.hard_state
     }
 
-    /// Index of the snapshot in force; 0 without one.
+    /// Index of the current snapshot, or 0 if there is none.
     pub fn snapshot_index(&self) -> LogIndex {
         self.snapshot_index
     }
 
-    /// Index of the last entry; the snapshot's without entries.
+    /// Index of the last entry, or of the snapshot if the log is empty.
     pub fn last_index(&self) -> LogIndex {
-        self.last
+        self.last_index
     }
 
-    /// The disk, to be opened anew.
+    /// Returns the disk, so that the folder can be opened again.
     pub fn into_disk(self) -> D {
         self.disk
     }
 
-    /// Appends entries in place of any that conflict, with the hard state; durable when it returns,
-    /// after one sync. A batch that starts a new segment syncs that one too.
+    /// Appends entries together with the hard state. Stored entries from the index of the first appended
+    /// entry on are replaced. The batch is durable on return, after one sync; a batch that starts a new
+    /// segment syncs that segment as well.
     ///
     /// # Errors
-    /// [`StorageError::Gap`] and [`StorageError::TooLarge`] change nothing; after
-    /// [`StorageError::Disk`] nothing more is taken.
+    /// [`StorageError::Gap`] and [`StorageError::TooLarge`] leave the log unchanged. After
+    /// [`StorageError::Disk`] every further write fails with [`StorageError::Poisoned`].
     pub fn persist(
         &mut self,
         hard_state: Option<&HardState>,
@@ -182,34 +183,34 @@
         }
         self.poisoned = true;
         if self.length >= self.limits.segment_bytes {
-            self.start_segment(self.unchanged())?;
+            self.start_segment(self.no_change())?;
         }
         self.write_batch(&body)?;
         self.poisoned = false;
-        self.note_batch(hard_state, entries);
+        self.record_batch(hard_state, entries);
         Ok(())
     }
 
-    /// Puts a snapshot of applied entries in force and drops the log before it.
+    /// Stores a snapshot of applied entries and discards the log up to its index.
     ///
     /// # Errors
-    /// [`StorageError::SnapshotOutside`] unless it stands after the present snapshot and at or before
-    /// the last entry.
+    /// [`StorageError::SnapshotOutOfRange`] unless its index is above the current snapshot's and at
+    /// most the last entry's.
     pub fn save_snapshot(&mut self, meta: &SnapshotMeta, data: &[u8]) -> Result<(), StorageError> {
-        self.check_snapshot(meta, LogIndex(self.snapshot_index.0 + 1), self.last)?;
+        self.check_snapshot(meta, LogIndex(self.snapshot_index.0 + 1), self.last_index)?;
         let kept = |info: &&SegmentInfo| info.highest > Some(meta.index);
         let oldest = self.segments.iter().find(kept).map(|info| info.segment);
-        let change = Change {
+        let change = SegmentChange {
             oldest_segment: oldest.unwrap_or(self.next_segment()),
-            ..self.unchanged()
+            ..self.no_change()
         };
-        self.put_in_force(change, meta, data)
+        self.activate_snapshot(change, meta, data)
     }
 
-    /// Puts a leader's snapshot in force and drops the whole log.
+    /// Stores a snapshot received from the leader and discards the whole log.
     ///
     /// # Errors
-    /// [`StorageError::SnapshotOutside`] when it stands before the present snapshot.
+    /// [`StorageError::SnapshotOutOfRange`] if its index is below the current snapshot's.
     pub fn install_snapshot(
         &mut self,
         meta: &SnapshotMeta,
@@ -218,11 +219,11 @@
         self.install(self.start.identity.clone(), meta, data)
     }
 
-    /// Makes the replica a member of a newly founded group, with the group's first membership as a
-    /// snapshot, in one atomic step.
+    /// Makes the replica a member of a newly founded group. The cluster and the group's first membership, as a
+    /// snapshot, are stored atomically.
     ///
     /// # Errors
-    /// [`StorageError::AlreadyFounded`] when it belongs to a group.
+    /// [`StorageError::AlreadyFounded`] if the replica already belongs to a founded group.
     pub fn set_founded(
         &mut self,
         cluster: ClusterId,
@@ -246,19 +247,19 @@
         data: &[u8],
     ) -> Result<(), StorageError> {
         self.check_snapshot(meta, self.snapshot_index, LogIndex(u64::MAX))?;
-        let change = Change {
+        let change = SegmentChange {
             identity,
             oldest_segment: self.next_segment(),
             snapshot: None,
         };
-        self.put_in_force(change, meta, data)?;
-        self.last = meta.index;
+        self.activate_snapshot(change, meta, data)?;
+        self.last_index = meta.index;
         Ok(())
     }
 
-    fn put_in_force(
+    fn activate_snapshot(
         &mut self,
-        change: Change,
+        change: SegmentChange,
         meta: &SnapshotMeta,
         data: &[u8],
     ) -> Result<(), StorageError> {
@@ -266,17 +267,17 @@
         let previous = self.start.snapshot;
         self.poisoned = true;
         snapshot_file::write(&mut self.disk, segment, meta, data)?;
-        self.start_segment(Change {
+        self.start_segment(SegmentChange {
             snapshot: Some(segment),
             ..change
         })?;
-        self.remove_dropped(previous)?;
+        self.remove_obsolete_files(previous)?;
         self.poisoned = false;
         self.snapshot_index = meta.index;
         Ok(())
     }
 
-    fn remove_dropped(&mut self, snapshot: Option<u64>) -> Result<(), StorageError> {
+    fn remove_obsolete_files(&mut self, snapshot: Option<u64>) -> Result<(), StorageError> {
         let oldest = self.start.oldest_segment;
         let (dropped, kept) = std::mem::take(&mut self.segments)
             .into_iter()
@@ -290,7 +291,7 @@
         Ok(())
     }
 
-    fn start_segment(&mut self, change: Change) -> Result<(), StorageError> {
+    fn start_segment(&mut self, change: SegmentChange) -> Result<(), StorageError> {
         let start = SegmentStart {
             segment: self.next_segment(),
             oldest_segment: change.oldest_segment,
@@ -298,17 +299,18 @@
             snapshot: change.snapshot,
             hard_state: self.hard_state.clone(),
         };
-        let (file, length) = segment::write_segment(&mut self.disk, &start, self.next_number)?;
+        let (file, length) =
+            segment::write_segment(&mut self.disk, &start, self.next_record_number)?;
         self.file = file;
         self.length = length;
-        self.next_number += 1;
+        self.next_record_number += 1;
         self.segments.push(SegmentInfo::new(start.segment));
         self.start = start;
         Ok(())
     }
 
     fn write_batch(&mut self, body: &[u8]) -> Result<(), StorageError> {
-        let bytes = frame::encode(FrameKind::Batch, self.next_number, body);
+        let bytes = frame::encode(FrameKind::Batch, self.next_record_number, body);
         let name = || segment_name(self.start.segment);
         self.disk
             .append(&mut self.file, &bytes)
@@ -319,16 +321,16 @@
                 .map_err(|source| StorageError::disk(&name())(source))?;
         }
         self.length += bytes.len() as u64;
-        self.next_number += 1;
+        self.next_record_number += 1;
         Ok(())
     }
 
-    fn note_batch(&mut self, hard_state: Option<&HardState>, entries: &[Entry]) {
+    fn record_batch(&mut self, hard_state: Option<&HardState>, entries: &[Entry]) {
         if let Some(hard_state) = hard_state {
             self.hard_state = hard_state.clone();
         }
         let Some(last) = entries.last() else { return };
-        self.last = last.index;
+        self.last_index = last.index;
         if let Some(info) = self.segments.last_mut() {
             info.highest = info.highest.max(Some(last.index));
         }
@@ -336,18 +338,18 @@
 
     fn check_entries(&self, entries: &[Entry]) -> Result<(), StorageError> {
         let lowest = LogIndex(self.snapshot_index.0 + 1);
-        let mut highest = LogIndex(self.last.0 + 1);
-        let mut lowest_next = lowest;
+        let mut highest = LogIndex(self.last_index.0 + 1);
+        let mut lowest_allowed = lowest;
         for entry in entries {
-            if entry.index < lowest_next || entry.index > highest {
+            if entry.index < lowest_allowed || entry.index > highest {
                 return Err(StorageError::Gap {
-                    lowest: lowest_next,
+                    lowest: lowest_allowed,
                     highest,
                     found: entry.index,
                 });
             }
             highest = LogIndex(entry.index.0 + 1);
-            lowest_next = highest;
+            lowest_allowed = highest;
         }
         Ok(())
     }
@@ -360,7 +362,7 @@
     ) -> Result<(), StorageError> {
         self.check_usable()?;
         if meta.index < lowest || meta.index > highest {
-            return Err(StorageError::SnapshotOutside {
+            return Err(StorageError::SnapshotOutOfRange {
                 lowest,
                 highest,
                 found: meta.index,
@@ -376,8 +378,8 @@
         Ok(())
     }
 
-    fn unchanged(&self) -> Change {
-        Change {
+    fn no_change(&self) -> SegmentChange {
+        SegmentChange {
             identity: self.start.identity.clone(),
             oldest_segment: self.start.oldest_segment,
             snapshot: self.start.snapshot,
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -1,13 +1,13 @@
-//! Names of files, and writing a whole file so that it is there in full or not at all.
+//! Names of files, and writing a file atomically.
 
 use crate::disk::Disk;
 use crate::error::StorageError;
 use crate::frame::{self, FrameKind};
 use crate::record::{self, SegmentStart};
 
-/// Exists while a new folder is being filled; a folder that has it was never used.
+/// Marker that exists while a replica is being created; a folder that contains it was never used.
 pub(crate) const CREATING_FILE: &str = "creating";
-/// Holds the part of the identity that never changes.
+/// File with the part of the identity that never changes.
 pub(crate) const IDENTITY_FILE: &str = "identity";
 
 const SEGMENT_PREFIX: &str = "log-";
@@ -20,14 +20,14 @@
     format!("{SEGMENT_PREFIX}{segment:016x}")
 }
 
-/// Name of the snapshot that was written for a segment.
+/// Name of the snapshot file that a segment refers to.
 pub(crate) fn snapshot_name(segment: u64) -> String {
     format!("{SNAPSHOT_PREFIX}{segment:016x}")
 }
 
-/// A file of storage, by its name.
+/// A file that belongs to storage, classified by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum KnownFile {
+pub(crate) enum StorageFile {
     Creating,
     Identity,
     Segment(u64),
@@ -35,21 +35,21 @@
     Temporary,
 }
 
-/// What a name stands for; `None` for a file that is none of storage's.
-pub(crate) fn parse_name(name: &str) -> Option<KnownFile> {
+/// Classifies a file by its name; `None` if it does not belong to storage.
+pub(crate) fn parse_name(name: &str) -> Option<StorageFile> {
     match name {
-        CREATING_FILE => return Some(KnownFile::Creating),
-        IDENTITY_FILE => return Some(KnownFile::Identity),
+        CREATING_FILE => return Some(StorageFile::Creating),
+        IDENTITY_FILE => return Some(StorageFile::Identity),
         _ => {}
     }
     if let Some(base) = name.strip_suffix(TEMPORARY_SUFFIX) {
-        return parse_name(base).map(|_| KnownFile::Temporary);
+        return parse_name(base).map(|_| StorageFile::Temporary);
     }
     if let Some(digits) = name.strip_prefix(SEGMENT_PREFIX) {
-        return parse_number(digits).map(KnownFile::Segment);
+        return parse_number(digits).map(StorageFile::Segment);
     }
     let digits = name.strip_prefix(SNAPSHOT_PREFIX)?;
-    parse_number(digits).map(KnownFile::Snapshot)
+    parse_number(digits).map(StorageFile::Snapshot)
 }
 
 fn parse_number(digits: &str) -> Option<u64> {
@@ -62,11 +62,12 @@
 /// One frame of a file to be written.
 pub(crate) struct FileFrame<'a> {
     pub kind: FrameKind,
+    /// Record number in a log segment, segment number in a snapshot file, 0 in the identity file.
     pub number: u64,
     pub body: &'a [u8],
 }
 
-/// Writes a file under a temporary name, syncs it and renames it; durable when it returns.
+/// Writes a file under a temporary name, syncs it and renames it. The file is durable on return.
 pub(crate) fn write_file<D: Disk>(
     disk: &mut D,
     name: &str,
@@ -78,7 +79,7 @@
         .map_err(StorageError::disk(&temporary))?;
     for FileFrame { kind, number, body } in frames {
         let header = frame::header(*kind, *number, body);
-        for bytes in [&header[..], body, &frame::closing()] {
+        for bytes in [&header[..], body, &frame::terminator()] {
             disk.append(&mut file, bytes)
                 .map_err(StorageError::disk(&temporary))?;
         }
@@ -91,7 +92,7 @@
     Ok(file)
 }
 
-/// Starts a segment. Returns it, open, and its length in bytes.
+/// Creates a segment. Returns the open file and its length in bytes.
 pub(crate) fn write_segment<D: Disk>(
     disk: &mut D,
     start: &SegmentStart,
--- a/crates/storage/src/simulated_disk.rs
+++ b/crates/storage/src/simulated_disk.rs
@@ -1,6 +1,6 @@
-//! A folder in memory that can lose what was not synced, tear writes, flip bits, fill up and fail.
+//! An in-memory folder that simulates lost and torn writes, corrupted bytes, a full disk and failing syncs.
 //!
-//! Invariant: what a crash leaves follows from the seed and the calls alone.
+//! Invariant: the state after a crash is determined by the seed and the sequence of calls.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,24 +10,24 @@
 
 use files::Files;
 
-/// What a crash leaves of bytes and names that were not synced.
+/// Which unsynced bytes and folder entries survive a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
-    /// Nothing.
+    /// None of them.
     LoseUnsynced,
-    /// Some sectors of what was written, zeros in place of others, and some of the new names.
+    /// Some of the written sectors, with zeros in place of others, and some of the changes of folder entries.
     TearWrites,
-    /// Everything, as when only the process dies.
+    /// All of them, as after a crash of the process alone.
     KeepAll,
 }
 
-/// A folder in memory; clones share it.
+/// An in-memory folder; clones share its state.
 #[derive(Clone, Debug)]
 pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
 }
 
-/// An open file of a [`SimulatedDisk`]; of no use after a crash.
+/// An open file of a [`SimulatedDisk`]; operations on it fail after a crash.
 #[derive(Debug)]
 pub struct SimulatedFile {
     inode: u64,
@@ -40,13 +40,13 @@
     generation: u64,
     operations: u64,
     crash_at: Option<u64>,
-    /// Good syncs left before one fails.
-    good_syncs: Option<u64>,
+    /// Number of syncs that succeed before one fails; `None` if none will fail.
+    syncs_before_failure: Option<u64>,
     capacity: Option<u64>,
 }
 
 impl State {
-    fn operate(&mut self) -> Result<(), DiskError> {
+    fn begin_operation(&mut self) -> Result<(), DiskError> {
         if self.crash_at.is_some_and(|limit| self.operations >= limit) {
             return Err(DiskError::Crashed);
         }
@@ -54,8 +54,8 @@
         Ok(())
     }
 
-    fn operate_on(&mut self, file: &SimulatedFile) -> Result<(), DiskError> {
-        self.operate()?;
+    fn begin_file_operation(&mut self, file: &SimulatedFile) -> Result<(), DiskError> {
+        self.begin_operation()?;
         if file.generation != self.generation {
             return Err(DiskError::Crashed);
         }
@@ -63,21 +63,21 @@
     }
 
     fn sync(&mut self) -> Result<(), DiskError> {
-        match self.good_syncs {
+        match self.syncs_before_failure {
             None => Ok(()),
             Some(0) => {
-                self.good_syncs = None;
+                self.syncs_before_failure = None;
                 Err(DiskError::SyncFailed)
             }
             Some(left) => {
-                self.good_syncs = Some(left - 1);
+                self.syncs_before_failure = Some(left - 1);
                 Ok(())
             }
         }
     }
 
-    /// Count of bytes out of `wanted` that still fit.
-    fn room(&self, wanted: usize) -> usize {
+    /// Number of bytes, at most `wanted`, that fit into the remaining capacity.
+    fn available_bytes(&self, wanted: usize) -> usize {
         let Some(capacity) = self.capacity else {
             return wanted;
         };
@@ -88,19 +88,19 @@
     fn restart(&mut self) {
         self.generation += 1;
         self.crash_at = None;
-        self.good_syncs = None;
+        self.syncs_before_failure = None;
     }
 }
 
 impl SimulatedDisk {
-    /// An empty folder; `seed` decides what torn writes leave.
+    /// Creates an empty folder; `seed` determines the outcome of torn writes.
     pub fn new(seed: u64) -> Self {
         let state = State {
             files: Files::new(seed),
             generation: 0,
             operations: 0,
             crash_at: None,
-            good_syncs: None,
+            syncs_before_failure: None,
             capacity: None,
         };
         Self {
@@ -108,53 +108,54 @@
         }
     }
 
-    /// The machine stops and starts again; files opened before are of no use.
+    /// Simulates a crash and a restart; files that were opened before become unusable.
     pub fn crash(&self, crash: Crash) {
         let mut state = self.lock();
         state.files.crash(crash);
         state.restart();
     }
 
-    /// The machine comes back with an empty disk.
+    /// Simulates a restart of the machine with an empty disk.
     pub fn wipe(&self) {
         let mut state = self.lock();
         state.files.clear();
         state.restart();
     }
 
-    /// Every operation that changes or syncs anything fails once `operations` more of them were done,
-    /// until the next [`Self::crash`].
+    /// Lets this many further operations that change or sync anything succeed; all later ones fail until the
+    /// next [`Self::crash`].
     pub fn crash_after(&self, operations: u64) {
         let mut state = self.lock();
         state.crash_at = Some(state.operations + operations);
     }
 
-    /// Count of operations so far that change or sync anything.
+    /// Number of operations so far that change or sync anything, including failed ones; operations refused
+    /// because of [`Self::crash_after`] are not counted.
     pub fn operations(&self) -> u64 {
         self.lock().operations
     }
 
-    /// The next sync of a file or of the folder fails.
+    /// Makes the next sync of a file or of the folder fail.
     pub fn fail_next_sync(&self) {
         self.fail_sync_after(0);
     }
 
-    /// One sync of a file or of the folder fails, after this many good ones.
-    pub fn fail_sync_after(&self, good: u64) {
-        self.lock().good_syncs = Some(good);
+    /// Makes one sync of a file or of the folder fail after this many successful ones.
+    pub fn fail_sync_after(&self, successes: u64) {
+        self.lock().syncs_before_failure = Some(successes);
     }
 
-    /// Bounds the bytes of all files together; `None` for no bound.
+    /// Limits the total size of all files in bytes; `None` removes the limit.
     pub fn set_capacity(&self, bytes: Option<u64>) {
         self.lock().capacity = bytes;
     }
 
-    /// Flips the bits of `mask` in one byte; `false` when the file has no such byte.
+    /// Flips the bits of `mask` in one byte. Returns false if the file does not exist or is shorter.
     pub fn corrupt(&self, name: &str, offset: u64, mask: u8) -> bool {
         self.lock().files.corrupt(name, offset, mask)
     }
 
-    /// Puts a file in place as if it had always been there.
+    /// Creates or replaces a file; its content and its name are durable at once.
     pub fn put(&self, name: &str, bytes: Vec<u8>) {
         self.lock().files.put(name, bytes);
     }
@@ -183,7 +184,7 @@
 
     fn create(&mut self, name: &str) -> Result<SimulatedFile, DiskError> {
         let mut state = self.lock();
-        state.operate()?;
+        state.begin_operation()?;
         Ok(SimulatedFile {
             inode: state.files.create(name),
             generation: state.generation,
@@ -200,11 +201,11 @@
 
     fn append(&mut self, file: &mut SimulatedFile, bytes: &[u8]) -> Result<(), DiskError> {
         let mut state = self.lock();
-        state.operate_on(file)?;
-        let fitting = state.room(bytes.len());
+        state.begin_file_operation(file)?;
+        let accepted = state.available_bytes(bytes.len());
         let inode = state.files.inode(file.inode).ok_or(DiskError::NotFound)?;
-        inode.append(&bytes[..fitting]);
-        if fitting < bytes.len() {
+        inode.append(&bytes[..accepted]);
+        if accepted < bytes.len() {
             return Err(DiskError::Full);
         }
         Ok(())
@@ -212,7 +213,7 @@
 
     fn truncate(&mut self, file: &mut SimulatedFile, length: u64) -> Result<(), DiskError> {
         let mut state = self.lock();
-        state.operate_on(file)?;
+        state.begin_file_operation(file)?;
         let inode = state.files.inode(file.inode).ok_or(DiskError::NotFound)?;
         inode.truncate(length);
         Ok(())
@@ -220,7 +221,7 @@
 
     fn sync(&mut self, file: &mut SimulatedFile) -> Result<(), DiskError> {
         let mut state = self.lock();
-        state.operate_on(file)?;
+        state.begin_file_operation(file)?;
         state.sync()?;
         let inode = state.files.inode(file.inode).ok_or(DiskError::NotFound)?;
         inode.sync();
@@ -229,7 +230,7 @@
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
         let mut state = self.lock();
-        state.operate()?;
+        state.begin_operation()?;
         match state.files.rename(from, to) {
             true => Ok(()),
             false => Err(DiskError::NotFound),
@@ -238,7 +239,7 @@
 
     fn remove(&mut self, name: &str) -> Result<(), DiskError> {
         let mut state = self.lock();
-        state.operate()?;
+        state.begin_operation()?;
         match state.files.remove(name) {
             true => Ok(()),
             false => Err(DiskError::NotFound),
@@ -247,7 +248,7 @@
 
     fn sync_dir(&mut self) -> Result<(), DiskError> {
         let mut state = self.lock();
-        state.operate()?;
+        state.begin_operation()?;
         state.sync()?;
         state.files.sync_names();
         Ok(())
--- a/crates/storage/src/simulated_disk/files.rs
+++ b/crates/storage/src/simulated_disk/files.rs
@@ -1,4 +1,4 @@
-//! The simulated folder's files: what is there now, and what a crash would leave.
+//! Files of the simulated folder: their current state and the state that survives a crash.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 
 type Names = BTreeMap<String, u64>;
 
-/// Bytes of one file.
+/// Content of one file.
 #[derive(Debug, Default)]
 pub(super) struct Inode {
     content: Vec<u8>,
-    /// Bytes of `content` that are durable.
+    /// Length of the prefix of `content` that is durable.
     durable: usize,
-    /// Durable bytes after these that were cut and not synced since.
-    cut: Vec<u8>,
+    /// Durable bytes beyond `durable` that were truncated; a crash may restore them until the next sync.
+    truncated: Vec<u8>,
 }
 
 impl Inode {
@@ -28,9 +28,9 @@
     pub(super) fn truncate(&mut self, length: u64) {
         let length = usize::try_from(length).unwrap_or(usize::MAX);
         if length < self.durable {
-            let mut cut = self.content[length..self.durable].to_vec();
-            cut.append(&mut self.cut);
-            self.cut = cut;
+            let mut truncated = self.content[length..self.durable].to_vec();
+            truncated.append(&mut self.truncated);
+            self.truncated = truncated;
             self.durable = length;
         }
         self.content.truncate(length);
@@ -38,36 +38,36 @@
 
     pub(super) fn sync(&mut self) {
         self.durable = self.content.len();
-        self.cut.clear();
+        self.truncated.clear();
     }
 
     fn lose_unsynced(&mut self) {
         self.content.truncate(self.durable);
-        self.content.append(&mut self.cut);
+        self.content.append(&mut self.truncated);
         self.sync();
     }
 
-    fn tear(&mut self, random: &mut SmallRng) {
-        if !self.cut.is_empty() {
-            if random.random() {
+    fn tear_unsynced(&mut self, rng: &mut SmallRng) {
+        if !self.truncated.is_empty() {
+            if rng.random() {
                 self.lose_unsynced();
             }
             self.sync();
             return;
         }
-        let length = random.random_range(self.durable..=self.content.len());
+        let length = rng.random_range(self.durable..=self.content.len());
         self.content.truncate(length);
-        if random.random() {
-            self.lose_sectors(random);
+        if rng.random() {
+            self.zero_random_sectors(rng);
         }
         self.sync();
     }
 
-    fn lose_sectors(&mut self, random: &mut SmallRng) {
+    fn zero_random_sectors(&mut self, rng: &mut SmallRng) {
         let mut start = self.durable;
         while start < self.content.len() {
             let end = ((start / SECTOR_BYTES + 1) * SECTOR_BYTES).min(self.content.len());
-            if random.random() {
+            if rng.random() {
                 self.content[start..end].fill(0);
             }
             start = end;
@@ -75,7 +75,7 @@
     }
 }
 
-/// A change of names that is not durable yet.
+/// A change of the folder entries that is not durable yet.
 #[derive(Debug)]
 enum NameChange {
     Link { name: String, inode: u64 },
@@ -104,7 +104,7 @@
     changes: Vec<NameChange>,
     inodes: BTreeMap<u64, Inode>,
     next_inode: u64,
-    random: SmallRng,
+    rng: SmallRng,
 }
 
 impl Files {
@@ -115,7 +115,7 @@
             changes: Vec::new(),
             inodes: BTreeMap::new(),
             next_inode: 0,
-            random: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
         }
     }
 
@@ -176,13 +176,13 @@
     pub(super) fn sync_names(&mut self) {
         self.durable_names = self.names.clone();
         self.changes.clear();
-        self.drop_unnamed();
+        self.remove_unlinked_inodes();
     }
 
     pub(super) fn crash(&mut self, crash: Crash) {
         let surviving = match crash {
             Crash::LoseUnsynced => 0,
-            Crash::TearWrites => self.random.random_range(0..=self.changes.len()),
+            Crash::TearWrites => self.rng.random_range(0..=self.changes.len()),
             Crash::KeepAll => self.changes.len(),
         };
         self.names = self.durable_names.clone();
@@ -192,7 +192,7 @@
         for inode in self.inodes.values_mut() {
             match crash {
                 Crash::LoseUnsynced => inode.lose_unsynced(),
-                Crash::TearWrites => inode.tear(&mut self.random),
+                Crash::TearWrites => inode.tear_unsynced(&mut self.rng),
                 Crash::KeepAll => inode.sync(),
             }
         }
@@ -229,7 +229,7 @@
         self.changes.push(change);
     }
 
-    fn drop_unnamed(&mut self) {
+    fn remove_unlinked_inodes(&mut self) {
         let named: Vec<u64> = self.names.values().copied().collect();
         self.inodes.retain(|inode, _| named.contains(inode));
     }
--- a/crates/storage/src/snapshot_file.rs
+++ b/crates/storage/src/snapshot_file.rs
@@ -1,20 +1,20 @@
-//! Snapshot files: one frame that says where the snapshot stands, one with its data.
+//! Snapshot files: one frame with the metadata of the snapshot, one frame with its data.
 
 use grebepin_schema::SnapshotMeta;
 
 use crate::disk::Disk;
 use crate::error::{Damage, StorageError};
-use crate::frame::{self, Frame, FrameFault, FrameKind};
+use crate::frame::{self, Frame, FrameError, FrameKind};
 use crate::record::{self, Snapshot};
 use crate::segment::{snapshot_name, write_file, FileFrame};
 
-/// Largest data of a snapshot in bytes.
+/// Largest size of the data of a snapshot in bytes.
 pub(crate) const MAXIMUM_SNAPSHOT_BYTES: u64 = 1 << 30;
 const MAXIMUM_META_BYTES: u64 = 1 << 20;
 const MAXIMUM_FILE_BYTES: u64 =
     MAXIMUM_SNAPSHOT_BYTES + MAXIMUM_META_BYTES + 2 * frame::FRAME_OVERHEAD_BYTES as u64;
 
-/// Writes the snapshot that `segment` will name; durable when it returns.
+/// Writes the snapshot that `segment` will refer to. It is durable on return.
 pub(crate) fn write<D: Disk>(
     disk: &mut D,
     segment: u64,
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-/// Reads the snapshot that was written for `segment`.
+/// Reads the snapshot that `segment` refers to.
 pub(crate) fn read<D: Disk>(disk: &D, segment: u64) -> Result<Snapshot, StorageError> {
     let name = snapshot_name(segment);
     let mut bytes = disk
@@ -52,7 +52,11 @@
         return Err(StorageError::damaged(&name, 0, Damage::Mismatch));
     }
     if end != bytes.len() {
-        return Err(StorageError::damaged(&name, end as u64, Damage::Trailing));
+        return Err(StorageError::damaged(
+            &name,
+            end as u64,
+            Damage::TrailingBytes,
+        ));
     }
     let data_bytes = data_frame.body.len();
     bytes.truncate(end - 1);
@@ -60,7 +64,7 @@
     Ok((meta, bytes))
 }
 
-/// Reads a frame of a file that is whole by construction, so that any fault is damage.
+/// Reads a frame of a file that was written atomically, so that any invalid frame is damage.
 pub(crate) fn read_frame<'a>(
     name: &str,
     bytes: &'a [u8],
@@ -68,14 +72,14 @@
     kind: FrameKind,
 ) -> Result<Frame<'a>, StorageError> {
     frame::read(bytes, offset, kind)
-        .map_err(|fault| StorageError::damaged(name, offset as u64, damage_of(fault)))
+        .map_err(|fault| StorageError::damaged(name, offset as u64, damage_from(fault)))
 }
 
-pub(crate) fn damage_of(fault: FrameFault) -> Damage {
+pub(crate) fn damage_from(fault: FrameError) -> Damage {
     match fault {
-        FrameFault::Short => Damage::CutShort,
-        FrameFault::Header => Damage::Header,
-        FrameFault::Body { .. } => Damage::Body,
+        FrameError::Truncated => Damage::Truncated,
+        FrameError::Header => Damage::Header,
+        FrameError::Body { .. } => Damage::Body,
     }
 }
 
--- a/crates/storage/src/startup.rs
+++ b/crates/storage/src/startup.rs
@@ -1,4 +1,4 @@
-//! Opens a folder: decides whether it is empty, whole, or damaged.
+//! Opens a folder and determines whether it is empty, intact or damaged.
 
 use std::collections::BTreeSet;
 
@@ -10,52 +10,56 @@
 use crate::record::{self, FixedIdentity, Identity, SegmentStart, Snapshot};
 use crate::replay::{self, Replay};
 use crate::replica_storage::ReplicaStorage;
-use crate::segment::{parse_name, segment_name, KnownFile, CREATING_FILE, IDENTITY_FILE};
+use crate::segment::{parse_name, segment_name, StorageFile, CREATING_FILE, IDENTITY_FILE};
 use crate::snapshot_file::{self, read_frame};
 
 const MAXIMUM_IDENTITY_FILE_BYTES: u64 = 4096;
 
-/// What a folder holds.
-#[expect(clippy::large_enum_variant, reason = "made once at each start")]
+/// Result of opening a folder.
+#[expect(
+    clippy::large_enum_variant,
+    reason = "constructed once per process start"
+)]
 pub enum Opened<D: Disk> {
-    /// Nothing: the replica has no identity.
+    /// The folder holds no replica.
     Empty(D),
-    /// A whole replica.
+    /// The folder holds an intact replica.
     Present {
-        /// Takes further writes.
+        /// Accepts further writes.
         storage: ReplicaStorage<D>,
-        /// Whose folder this is.
+        /// The replica, group and cluster that the folder belongs to.
         identity: Identity,
-        /// What the replica remembers.
+        /// Persisted state of the replica.
         restored: RestoredState,
     },
 }
 
-/// What a replica remembers after a start.
+/// State of a replica that was read from its folder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredState {
-    /// Term, vote and commit index last persisted.
+    /// The last persisted term, vote and commit index.
     pub hard_state: HardState,
-    /// Snapshot in force.
+    /// Current snapshot and its data.
     pub snapshot: Option<(SnapshotMeta, Vec<u8>)>,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Set when a write was under way at the last crash and was cut away, for the log of events.
+    /// The unfinished write that was removed from the end of the log, for the event log; absent if there was
+    /// none.
     pub torn_tail: Option<TornTail>,
 }
 
-/// An unfinished write that was cut away; nothing in it was ever acknowledged.
+/// An unfinished write that was removed from the end of a file; it was never acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornTail {
-    /// File.
+    /// Name of the file.
     pub file: String,
-    /// Offset in bytes that the file now ends at.
+    /// Length of the file in bytes after the removal.
     pub offset: u64,
-    /// Count of bytes cut.
+    /// Number of bytes removed.
     pub bytes: u64,
 }
 
-/// Storage's own files in a folder.
+/// The files of a folder that belong to storage.
 struct Folder {
     names: Vec<String>,
     creating: bool,
@@ -75,11 +79,11 @@
         };
         for name in disk.list().map_err(StorageError::disk(""))? {
             match parse_name(&name) {
-                Some(KnownFile::Creating) => folder.creating = true,
-                Some(KnownFile::Identity) => folder.identity = true,
-                Some(KnownFile::Segment(segment)) => _ = folder.segments.insert(segment),
-                Some(KnownFile::Snapshot(segment)) => _ = folder.snapshots.insert(segment),
-                Some(KnownFile::Temporary) => {}
+                Some(StorageFile::Creating) => folder.creating = true,
+                Some(StorageFile::Identity) => folder.identity = true,
+                Some(StorageFile::Segment(segment)) => _ = folder.segments.insert(segment),
+                Some(StorageFile::Snapshot(segment)) => _ = folder.snapshots.insert(segment),
+                Some(StorageFile::Temporary) => {}
                 None => continue,
             }
             folder.names.push(name);
@@ -93,8 +97,8 @@
     }
 }
 
-/// Whether the folder has no replica; removes what an unfinished creation left.
-pub(crate) fn clear_unused<D: Disk>(disk: &mut D) -> Result<bool, StorageError> {
+/// Returns whether the folder holds no replica; if so, removes the files of an unfinished creation.
+pub(crate) fn clear_if_unused<D: Disk>(disk: &mut D) -> Result<bool, StorageError> {
     let folder = Folder::list(disk)?;
     if !folder.is_unused() {
         return Ok(false);
@@ -102,7 +106,7 @@
     let leftovers = folder.names.iter().filter(|name| *name != CREATING_FILE);
     remove_all(disk, leftovers)?;
     if folder.creating {
-        // The marker goes last, so that a crash in between leaves a folder that is still unused.
+        // The marker is removed last, so that after a crash in between the folder still counts as unused.
         disk.sync_dir().map_err(StorageError::disk(""))?;
         remove_all(disk, [CREATING_FILE.to_owned()].iter())?;
         disk.sync_dir().map_err(StorageError::disk(""))?;
@@ -110,23 +114,23 @@
     Ok(true)
 }
 
-/// Opens a folder.
+/// Opens a folder; see [`ReplicaStorage::open`].
 pub(crate) fn open<D: Disk>(mut disk: D) -> Result<Opened<D>, StorageError> {
-    if clear_unused(&mut disk)? {
+    if clear_if_unused(&mut disk)? {
         return Ok(Opened::Empty(disk));
     }
     let folder = Folder::list(&disk)?;
-    let fixed = read_identity(&disk)?;
+    let stored_identity = read_identity(&disk)?;
     let mut replay = replay::replay(&disk, &folder.segments)?;
-    check_identity(&fixed, &replay.start)?;
+    check_identity(&stored_identity, &replay.start)?;
     let snapshot = read_snapshot(&disk, &replay.start)?;
     let snapshot_index = snapshot.as_ref().map(|(meta, _)| meta.index);
     let snapshot_index = snapshot_index.unwrap_or_default();
-    drop_covered(&mut replay, snapshot_index)?;
+    drop_compacted_entries(&mut replay, snapshot_index)?;
     let newest = segment_name(replay.start.segment);
     let mut file = disk.open(&newest).map_err(StorageError::disk(&newest))?;
-    let torn_tail = cut_torn_tail(&mut disk, &mut file, &newest, &replay)?;
-    remove_leftovers(&mut disk, &folder, &replay.start)?;
+    let torn_tail = truncate_torn_tail(&mut disk, &mut file, &newest, &replay)?;
+    remove_obsolete_files(&mut disk, &folder, &replay.start)?;
     let restored = RestoredState {
         hard_state: replay.hard_state.clone(),
         snapshot,
@@ -156,15 +160,18 @@
         return Err(StorageError::damaged(
             IDENTITY_FILE,
             offset,
-            Damage::Trailing,
+            Damage::TrailingBytes,
         ));
     }
     record::decode(IDENTITY_FILE, 0, frame.body)
 }
 
-fn check_identity(fixed: &FixedIdentity, start: &SegmentStart) -> Result<(), StorageError> {
+fn check_identity(
+    stored_identity: &FixedIdentity,
+    start: &SegmentStart,
+) -> Result<(), StorageError> {
     let identity = &start.identity;
-    if fixed.replica != identity.replica || fixed.group != identity.group {
+    if stored_identity.replica != identity.replica || stored_identity.group != identity.group {
         return Err(StorageError::damaged(IDENTITY_FILE, 0, Damage::Mismatch));
     }
     Ok(())
@@ -180,7 +187,10 @@
         .transpose()
 }
 
-fn drop_covered(replay: &mut Replay, snapshot_index: LogIndex) -> Result<(), StorageError> {
+fn drop_compacted_entries(
+    replay: &mut Replay,
+    snapshot_index: LogIndex,
+) -> Result<(), StorageError> {
     replay.entries.retain(|entry| entry.index > snapshot_index);
     match replay.entries.first() {
         Some(entry) if entry.index.0 != snapshot_index.0 + 1 => {
@@ -191,7 +201,7 @@
     }
 }
 
-fn cut_torn_tail<D: Disk>(
+fn truncate_torn_tail<D: Disk>(
     disk: &mut D,
     file: &mut D::File,
     name: &str,
@@ -211,18 +221,18 @@
     }))
 }
 
-fn remove_leftovers<D: Disk>(
+fn remove_obsolete_files<D: Disk>(
     disk: &mut D,
     folder: &Folder,
     start: &SegmentStart,
 ) -> Result<(), StorageError> {
-    let is_leftover = |name: &&String| match parse_name(name) {
-        Some(KnownFile::Temporary) => true,
-        Some(KnownFile::Segment(segment)) => segment < start.oldest_segment,
-        Some(KnownFile::Snapshot(segment)) => Some(segment) != start.snapshot,
+    let is_obsolete = |name: &&String| match parse_name(name) {
+        Some(StorageFile::Temporary) => true,
+        Some(StorageFile::Segment(segment)) => segment < start.oldest_segment,
+        Some(StorageFile::Snapshot(segment)) => Some(segment) != start.snapshot,
         _ => false,
     };
-    remove_all(disk, folder.names.iter().filter(is_leftover))
+    remove_all(disk, folder.names.iter().filter(is_obsolete))
 }
 
 fn remove_all<'a, D: Disk>(
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the tests of storage.
+//! Test data and helpers shared by the tests of storage.
 #![allow(dead_code)]
 
 use grebepin_schema::{
@@ -10,7 +10,7 @@
 };
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 
-/// Settings of property tests: the same cases at each run.
+/// Configuration of property tests that generates the same cases in each run.
 pub fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -64,7 +64,7 @@
     ReplicaStorage::create(disk.clone(), identity(), None).expect("an empty folder")
 }
 
-/// Opens a folder that must hold a whole replica.
+/// Opens a folder; panics unless it holds an intact replica.
 pub fn reopen<D: Disk>(disk: D) -> (ReplicaStorage<D>, Identity, RestoredState) {
     match try_reopen(disk) {
         Ok(Some(present)) => present,
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -1,4 +1,4 @@
-//! A crash at any point keeps every batch that was acknowledged, and shows no half of any other.
+//! A crash at any operation keeps every acknowledged batch, and keeps or loses every other batch as a whole.
 
 mod common;
 
@@ -7,14 +7,14 @@
 use grebepin_storage::{Crash, Limits, ReplicaStorage, RestoredState, SimulatedDisk, StorageError};
 use proptest::prelude::*;
 
-const CRASHES: [Crash; 3] = [Crash::LoseUnsynced, Crash::TearWrites, Crash::KeepAll];
+const CRASH_KINDS: [Crash; 3] = [Crash::LoseUnsynced, Crash::TearWrites, Crash::KeepAll];
 
-/// A call to storage.
+/// An operation on storage.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Appends, after going back over some of the last entries.
+    /// Appends `count` entries after replacing the last `overwritten` ones.
     Persist {
-        back: u64,
+        overwritten: u64,
         count: u64,
         vote: bool,
     },
@@ -27,7 +27,7 @@
     Reopen,
 }
 
-/// What a replica must remember after a start.
+/// State that a replica must restore when it is opened.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
     term: u64,
@@ -42,9 +42,14 @@
             .map_or(self.snapshot, |entry| entry.index.0)
     }
 
-    fn batch(&mut self, back: u64, count: u64, vote: bool) -> (Option<HardState>, Vec<Entry>) {
+    fn batch(
+        &mut self,
+        overwritten: u64,
+        count: u64,
+        vote: bool,
+    ) -> (Option<HardState>, Vec<Entry>) {
         let first = (self.last() + 1)
-            .saturating_sub(back)
+            .saturating_sub(overwritten)
             .max(self.snapshot + 1);
         self.term += u64::from(vote);
         let term = self.term;
@@ -71,7 +76,7 @@
     }
 }
 
-/// Does one step on storage and, when that returns, what it must have led to.
+/// Runs one step on storage. Returns its result and the state after a successful step.
 fn step(
     storage: &mut ReplicaStorage<SimulatedDisk>,
     model: &Model,
@@ -79,8 +84,12 @@
 ) -> (Model, Result<(), StorageError>) {
     let mut next = model.clone();
     let result = match step {
-        Step::Persist { back, count, vote } => {
-            let (hard_state, batch) = next.batch(*back, *count, *vote);
+        Step::Persist {
+            overwritten,
+            count,
+            vote,
+        } => {
+            let (hard_state, batch) = next.batch(*overwritten, *count, *vote);
             storage.persist(hard_state.as_ref(), &batch)
         }
         Step::Save { behind } => {
@@ -103,7 +112,8 @@
 
 const LIMITS: Limits = Limits { segment_bytes: 600 };
 
-/// Runs the steps until the disk fails. Returns what was acknowledged and what may be there as well.
+/// Runs the steps until the disk fails. Returns the acknowledged state, and the state after the step that was
+/// in flight, which may be found instead.
 fn run(disk: &SimulatedDisk, steps: &[Step], fault: Fault) -> (Option<Model>, Option<Model>) {
     let Ok(storage) = ReplicaStorage::create(disk.clone(), identity(), None) else {
         return (None, Some(Model::default()));
@@ -129,22 +139,22 @@
     (Some(model), None)
 }
 
-fn check_after_crash(disk: &SimulatedDisk, acknowledged: Option<Model>, under_way: Option<Model>) {
+fn check_after_crash(disk: &SimulatedDisk, acknowledged: Option<Model>, in_flight: Option<Model>) {
     let found = match try_reopen(disk.clone()) {
         Ok(present) => present.map(|(_, _, restored)| Model::of(&restored)),
         Err(error) => panic!("{error}"),
     };
-    let allowed = found == acknowledged || (under_way.is_some() && found == under_way);
+    let allowed = found == acknowledged || (in_flight.is_some() && found == in_flight);
     assert!(
         allowed,
-        "found {found:?}, acknowledged {acknowledged:?}, under way {under_way:?}"
+        "found {found:?}, acknowledged {acknowledged:?}, in flight {in_flight:?}"
     );
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..4u64, 0..20u64, any::<bool>())
-            .prop_map(|(back, count, vote)| Step::Persist { back, count, vote }),
+            .prop_map(|(overwritten, count, vote)| Step::Persist { overwritten, count, vote }),
         1 => (0..5u64).prop_map(|behind| Step::Save { behind }),
         1 => (0..5u64).prop_map(|ahead| Step::Install { ahead }),
         1 => Just(Step::Reopen),
@@ -160,18 +170,19 @@
         steps in steps(),
         seed in any::<u64>(),
     ) {
-        let whole = SimulatedDisk::new(seed);
-        run(&whole, &steps, Fault::None);
-        for operations in 0..=whole.operations() {
-            for crash in CRASHES {
+        let reference = SimulatedDisk::new(seed);
+        run(&reference, &steps, Fault::None);
+        for operations in 0..=reference.operations() {
+            for crash in CRASH_KINDS {
                 let disk = SimulatedDisk::new(seed ^ operations);
                 disk.crash_after(operations);
-                let (acknowledged, under_way) = run(&disk, &steps, Fault::None);
+                let (acknowledged, in_flight) = run(&disk, &steps, Fault::None);
                 disk.crash(crash);
-                check_after_crash(&disk, acknowledged.clone(), under_way.clone());
-                // Opening may itself have cut and removed; a second crash changes nothing.
+                check_after_crash(&disk, acknowledged.clone(), in_flight.clone());
+                // Opening the folder may have truncated and removed files; a second crash must not change the
+                // state.
                 disk.crash(Crash::TearWrites);
-                check_after_crash(&disk, acknowledged, under_way);
+                check_after_crash(&disk, acknowledged, in_flight);
             }
         }
     }
@@ -182,22 +193,22 @@
         seed in any::<u64>(),
         fault in faults(),
     ) {
-        for crash in CRASHES {
+        for crash in CRASH_KINDS {
             let disk = SimulatedDisk::new(seed);
-            let (acknowledged, under_way) = run(&disk, &steps, fault);
+            let (acknowledged, in_flight) = run(&disk, &steps, fault);
             disk.set_capacity(None);
             disk.crash(crash);
-            check_after_crash(&disk, acknowledged, under_way);
+            check_after_crash(&disk, acknowledged, in_flight);
         }
     }
 }
 
-/// A fault of a disk that sets in once the folder is made.
+/// A disk fault that begins after the replica was created.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     None,
     Full { bytes: u64 },
-    FailingSync { good: u64 },
+    SyncFailure { successes: u64 },
 }
 
 impl Fault {
@@ -205,7 +216,7 @@
         match self {
             Self::None => {}
             Self::Full { bytes } => disk.set_capacity(Some(bytes)),
-            Self::FailingSync { good } => disk.fail_sync_after(good),
+            Self::SyncFailure { successes } => disk.fail_sync_after(successes),
         }
     }
 }
@@ -213,7 +224,7 @@
 fn faults() -> impl Strategy<Value = Fault> {
     prop_oneof![
         (300..8000u64).prop_map(|bytes| Fault::Full { bytes }),
-        (0..30u64).prop_map(|good| Fault::FailingSync { good }),
+        (0..30u64).prop_map(|successes| Fault::SyncFailure { successes }),
     ]
 }
 
@@ -251,7 +262,7 @@
         .expect("a batch");
     disk.crash(Crash::LoseUnsynced);
     let found = try_reopen(disk)
-        .expect("a whole folder")
+        .expect("an intact folder")
         .expect("a replica");
     assert!(found.2.entries.is_empty());
 }
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -1,4 +1,5 @@
-//! A damaged folder is refused with a typed error; no bytes make storage panic or forget.
+//! A damaged folder is refused with a typed error. No content of a file makes storage panic or lose entries
+//! silently.
 
 mod common;
 
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn every_flipped_byte_is_noticed() {
+fn every_flipped_byte_is_detected() {
     for name in sample().list().expect("names") {
         let bytes = sample().read(&name, READ_LIMIT).expect("a file");
         for offset in 0..bytes.len() as u64 {
@@ -46,16 +47,17 @@
                 let disk = sample();
                 assert!(disk.corrupt(&name, offset, mask));
                 let damage = damage_of(&disk);
-                let noticed = damage.is_some_and(|(file, _)| file == name);
-                assert!(noticed, "{name} at {offset} with {mask:#x}");
+                let detected = damage.is_some_and(|(file, _)| file == name);
+                assert!(detected, "{name} at {offset} with {mask:#x}");
             }
         }
     }
 }
 
 #[test]
-fn every_missing_file_is_noticed() {
-    // The newest segment is left out: without it the folder is one from before it was started.
+fn every_missing_file_is_detected() {
+    // The newest segment is excluded: without it, the folder equals a valid one from before the segment was
+    // started.
     let newest = segments(&sample()).pop();
     for name in sample().list().expect("names") {
         if Some(&name) == newest.as_ref() {
@@ -68,16 +70,16 @@
 }
 
 #[test]
-fn an_older_segment_must_be_whole() {
+fn a_truncated_older_segment_is_refused() {
     let disk = sample();
     let oldest = segments(&disk).remove(0);
     let bytes = disk.read(&oldest, READ_LIMIT).expect("a segment");
     disk.put(&oldest, bytes[..bytes.len() - 1].to_vec());
-    assert_eq!(damage_of(&disk), Some((oldest, Damage::CutShort)));
+    assert_eq!(damage_of(&disk), Some((oldest, Damage::Truncated)));
 }
 
 #[test]
-fn an_identity_that_is_too_long_is_refused_unread() {
+fn an_identity_file_that_is_too_long_is_refused_unread() {
     let disk = sample();
     disk.put("identity", vec![b'G'; 5000]);
     let expected = ("identity".to_owned(), Damage::TooLong);
@@ -85,12 +87,12 @@
 }
 
 #[test]
-fn a_lost_record_in_the_middle_is_noticed() {
+fn a_lost_record_in_the_middle_is_detected() {
     let disk = SimulatedDisk::new(1);
     let mut storage = create(&disk);
     let name = segments(&disk).remove(0);
     let mut lengths = Vec::new();
-    // The second record spans whole sectors.
+    // The second record is long enough to contain complete sectors.
     for batch in [entries(1..=1, 1), entries(2..=40, 1), entries(41..=41, 1)] {
         lengths.push(disk.read(&name, READ_LIMIT).expect("a segment").len());
         storage.persist(None, &batch).expect("a batch");
@@ -105,8 +107,8 @@
     zeroed_sector[sector..sector + 512].fill(0);
     let cases = [
         (zeroed_sector, Damage::Body),
-        (without_second, Damage::Sequence),
-        (doubled_first, Damage::Sequence),
+        (without_second, Damage::OutOfSequence),
+        (doubled_first, Damage::OutOfSequence),
         (zeroed_second, Damage::Header),
     ];
     for (bytes, reason) in cases {
@@ -116,7 +118,7 @@
 }
 
 #[test]
-fn an_unfinished_write_is_cut_and_reported() {
+fn an_unfinished_write_is_removed_and_reported() {
     let unfinished: [fn(usize) -> Vec<u8>; 4] = [
         |written| vec![0; 3000 - written],
         |_| b"GBPB\0\0".to_vec(),
--- a/crates/storage/tests/round_trip.rs
+++ b/crates/storage/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! What was written is read back, over the simulated folder and over a real one alike.
+//! Everything that was written is restored when the folder is opened, on a simulated and on a real disk.
 
 mod common;
 
@@ -8,8 +8,8 @@
     Disk, DiskError, Limits, Opened, RealDisk, ReplicaStorage, SimulatedDisk, StorageError,
 };
 
-/// Runs a check over each kind of folder; the argument opens the same folder again.
-fn over_each_disk(check: impl Fn(&mut dyn FnMut() -> AnyDisk)) {
+/// Runs a check on each kind of disk; each call of the argument opens the same folder again.
+fn on_each_disk(check: impl Fn(&mut dyn FnMut() -> AnyDisk)) {
     let simulated = SimulatedDisk::new(1);
     check(&mut || AnyDisk::Simulated(simulated.clone()));
     let folder = tempfile::tempdir().expect("a folder");
@@ -21,7 +21,7 @@
     Real(RealDisk),
 }
 
-/// Runs the same generic check over whichever disk it is.
+/// Evaluates a generic expression for the actual type of the disk.
 macro_rules! with_disk {
     ($disk:expr, |$inner:ident| $body:expr) => {
         match $disk {
@@ -68,21 +68,21 @@
 
 #[test]
 fn a_conflicting_batch_cuts_the_log() {
-    over_each_disk(|again| {
-        with_disk!(again(), |disk| drop(fill(disk)));
+    on_each_disk(|reopen_disk| {
+        with_disk!(reopen_disk(), |disk| drop(fill(disk)));
         let expected = Expected {
             entries: after_fill(),
             snapshot: 0,
             term: 2,
         };
-        with_disk!(again(), |disk| expect(disk, expected));
+        with_disk!(reopen_disk(), |disk| expect(disk, expected));
     });
 }
 
 #[test]
 fn a_saved_snapshot_drops_the_log_before_it() {
-    over_each_disk(|again| {
-        with_disk!(again(), |disk| {
+    on_each_disk(|reopen_disk| {
+        with_disk!(reopen_disk(), |disk| {
             let mut storage = fill(disk);
             storage
                 .save_snapshot(&meta(4, 2), b"state")
@@ -96,14 +96,14 @@
             snapshot: 4,
             term: 2,
         };
-        with_disk!(again(), |disk| expect(disk, expected));
+        with_disk!(reopen_disk(), |disk| expect(disk, expected));
     });
 }
 
 #[test]
 fn an_installed_snapshot_drops_the_whole_log() {
-    over_each_disk(|again| {
-        with_disk!(again(), |disk| {
+    on_each_disk(|reopen_disk| {
+        with_disk!(reopen_disk(), |disk| {
             let mut storage = fill(disk);
             let (meta, data) = (meta(5, 3), [9; 3000]);
             storage.install_snapshot(&meta, &data).expect("a snapshot");
@@ -115,7 +115,7 @@
             snapshot: 5,
             term: 2,
         };
-        with_disk!(again(), |disk| expect(disk, expected));
+        with_disk!(reopen_disk(), |disk| expect(disk, expected));
     });
 }
 
@@ -143,8 +143,8 @@
 
 #[test]
 fn founding_is_one_step_and_happens_once() {
-    over_each_disk(|again| {
-        with_disk!(again(), |disk| {
+    on_each_disk(|reopen_disk| {
+        with_disk!(reopen_disk(), |disk| {
             let mut storage = ReplicaStorage::create(disk, identity(), None).expect("empty");
             storage
                 .set_founded(cluster(), &meta(1, 1), b"first")
@@ -152,7 +152,7 @@
             let second = storage.set_founded(cluster(), &meta(1, 1), b"second");
             assert!(matches!(second, Err(StorageError::AlreadyFounded)));
         });
-        with_disk!(again(), |disk| {
+        with_disk!(reopen_disk(), |disk| {
             let (storage, found, restored) = reopen(disk);
             assert_eq!(found.cluster, Some(cluster()));
             assert_eq!(storage.identity(), &found);
@@ -163,13 +163,16 @@
 
 #[test]
 fn an_initial_snapshot_is_there_after_creation() {
-    over_each_disk(|again| {
+    on_each_disk(|reopen_disk| {
         let initial = Some((meta(1, 1), b"initial".to_vec()));
-        with_disk!(again(), |disk| drop(
+        with_disk!(reopen_disk(), |disk| drop(
             ReplicaStorage::create(disk, identity(), initial.clone()).expect("an empty folder")
         ));
-        with_disk!(again(), |disk| assert_eq!(reopen(disk).2.snapshot, initial));
-        with_disk!(again(), |disk| {
+        with_disk!(reopen_disk(), |disk| assert_eq!(
+            reopen(disk).2.snapshot,
+            initial
+        ));
+        with_disk!(reopen_disk(), |disk| {
             let second = ReplicaStorage::create(disk, identity(), None);
             assert!(matches!(second.err(), Some(StorageError::NotEmpty)));
         });
@@ -178,8 +181,8 @@
 
 #[test]
 fn an_empty_folder_has_no_identity() {
-    over_each_disk(|again| {
-        with_disk!(again(), |disk| {
+    on_each_disk(|reopen_disk| {
+        with_disk!(reopen_disk(), |disk| {
             let opened = ReplicaStorage::open(disk).expect("an empty folder");
             assert!(matches!(opened, Opened::Empty(_)));
         });
@@ -226,10 +229,16 @@
     }
     for index in [2, 3, 7] {
         let refused = storage.save_snapshot(&meta(index, 2), b"");
-        assert!(matches!(refused, Err(StorageError::SnapshotOutside { .. })));
+        assert!(matches!(
+            refused,
+            Err(StorageError::SnapshotOutOfRange { .. })
+        ));
     }
     let refused = storage.install_snapshot(&meta(2, 2), b"");
-    assert!(matches!(refused, Err(StorageError::SnapshotOutside { .. })));
+    assert!(matches!(
+        refused,
+        Err(StorageError::SnapshotOutOfRange { .. })
+    ));
     assert_eq!(disk.operations(), before);
     storage.persist(None, &entries(7..=7, 2)).expect("a batch");
     assert_eq!(reopen(disk).2.entries, entries(4..=7, 2));
