--- a/crates/control/src/node/members.rs
+++ b/crates/control/src/node/members.rs
@@ -60,7 +60,7 @@
 
     /// Adds a learner.
     fn admit(&mut self, now: Duration, member: Member) {
-        let next = members::admitting(self.consensus.membership(), member);
+        let next = members::admission_step(self.consensus.membership(), member);
         // A refused change is made again when the replica asks again.
         let _ = self.consensus.propose_membership(now, next);
     }
@@ -83,9 +83,9 @@
         if let Some(replaced) = members::voter_at(membership, &learner.peer_address) {
             let is_lost = !self.alive_members(now).contains(&replaced);
             let allowed = is_lost && self.keeps_quorum_without(now, replaced);
-            return allowed.then(|| members::without(membership, replaced));
+            return allowed.then(|| members::without_member(membership, replaced));
         }
-        Some(members::promoting(membership, learner.replica))
+        Some(members::with_voter(membership, learner.replica))
     }
 
     /// Whether the voters heard from lately are a majority of those that remain.
@@ -116,7 +116,7 @@
             let error = api_error(ApiErrorKind::MembershipBusy, message.to_owned());
             return self.reply(reply, Err(error));
         }
-        let next = members::without(self.consensus.membership(), replica);
+        let next = members::without_member(self.consensus.membership(), replica);
         match self.consensus.propose_membership(now, next) {
             Ok((term, index)) => {
                 let waiter = EntryWaiter::RemoveMember(reply);
--- a/crates/directory/src/node/membership.rs
+++ b/crates/directory/src/node/membership.rs
@@ -252,7 +252,7 @@
             .as_ref()?
             .pending_members
             .first_key_value()?;
-        let next = members::admitting(membership, pending.clone());
+        let next = members::admission_step(membership, pending.clone());
         (next.members.len() <= MAXIMUM_MEMBERS).then_some(next)
     }
 
@@ -265,7 +265,7 @@
             .time_since_contact(now)
             .into_iter()
             .find(|(replica, elapsed)| is_learner(replica) && *elapsed > LEARNER_REMOVAL_DELAY);
-        lost.map(|(replica, _)| members::without(membership, replica))
+        lost.map(|(replica, _)| members::without_member(membership, replica))
     }
 
     /// Time since each other member was last in contact; a member that has not been in contact yet is counted
--- a/crates/directory/src/node/voters.rs
+++ b/crates/directory/src/node/voters.rs
@@ -30,7 +30,7 @@
             learners.find_map(|learner| members::voter_at(membership, &learner.peer_address));
         let replaced = replaced.or_else(|| self.unresponsive_voter(now))?;
         let allowed = self.keeps_quorum_without(now, replaced);
-        allowed.then(|| members::without(membership, replaced))
+        allowed.then(|| members::without_member(membership, replaced))
     }
 
     /// Membership without one voter beyond the wanted number.
@@ -42,7 +42,7 @@
         let unresponsive = self.unresponsive_voter(now);
         let surplus = unresponsive.or_else(|| members::surplus_voter(membership, self.replica))?;
         let allowed = self.keeps_quorum_without(now, surplus);
-        allowed.then(|| members::without(membership, surplus))
+        allowed.then(|| members::without_member(membership, surplus))
     }
 
     pub(super) fn with_corrected_zone(&self) -> Option<Membership> {
@@ -63,13 +63,14 @@
     pub(super) fn with_another_voter(&self, now: Duration) -> Option<Membership> {
         let membership = self.consensus.membership();
         let learners = members::caught_up_learners(&self.consensus);
-        let learner = members::best_spread(membership, learners)?;
+        let learner = members::select_learner_by_zone(membership, learners)?;
         let wanted = self.wanted_voters();
         let is_short = self.voter_count() < wanted;
-        let spreads = || self.are_zones_known() && members::would_spread(membership, learner);
+        let spreads =
+            || self.are_zones_known() && members::improves_zone_spread(membership, learner);
         let may_spread = self.voter_count() == wanted && self.unresponsive_voter(now).is_none();
         let is_wanted = is_short || (may_spread && spreads());
-        is_wanted.then(|| members::promoting(membership, learner.replica))
+        is_wanted.then(|| members::with_voter(membership, learner.replica))
     }
 
     fn are_zones_known(&self) -> bool {
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -4,4 +4,4 @@
 mod log_writer;
 pub mod members;
 
-pub use log_writer::{LogWriter, Written};
+pub use log_writer::{LogWriter, WriteStats};
--- a/crates/replica/src/log_writer.rs
+++ b/crates/replica/src/log_writer.rs
@@ -8,7 +8,7 @@
 
 /// What was written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Written {
+pub struct WriteStats {
     /// Syncs of the disk.
     pub syncs: u64,
     /// Entries of the log.
@@ -37,8 +37,8 @@
         &mut self,
         storage: &mut ReplicaStorage<D>,
         ready: &Ready,
-    ) -> Result<Written, StorageError> {
-        let mut written = Written::default();
+    ) -> Result<WriteStats, StorageError> {
+        let mut written = WriteStats::default();
         if let Some((meta, data)) = &ready.snapshot {
             storage.install_snapshot(meta, data)?;
             written.syncs += 1;
--- a/crates/replica/src/members.rs
+++ b/crates/replica/src/members.rs
@@ -32,7 +32,7 @@
 
 /// Out of some learners the one whose zone has the fewest voters, so that the loss of a zone takes as few
 /// voters as possible.
-pub fn best_spread<'a>(
+pub fn select_learner_by_zone<'a>(
     membership: &Membership,
     learners: impl Iterator<Item = &'a Member>,
 ) -> Option<&'a Member> {
@@ -41,7 +41,7 @@
 
 /// Whether a voter less in the zone with most of them, and one more in this learner's, would spread the
 /// voters better.
-pub fn would_spread(membership: &Membership, learner: &Member) -> bool {
+pub fn improves_zone_spread(membership: &Membership, learner: &Member) -> bool {
     let most = voters(membership).map(|voter| voters_in(membership, &voter.zone));
     most.max().unwrap_or(0) > voters_in(membership, &learner.zone) + 1
 }
@@ -70,7 +70,7 @@
 }
 
 /// The membership without a member.
-pub fn without(membership: &Membership, replica: ReplicaId) -> Membership {
+pub fn without_member(membership: &Membership, replica: ReplicaId) -> Membership {
     let members = membership.members.iter();
     let members = members.filter(|member| member.replica != replica);
     Membership {
@@ -80,12 +80,12 @@
 
 /// The first step towards a membership with a new learner or observer: one without an older one at its
 /// address, whose folder must be lost, or else with the new one.
-pub fn admitting(membership: &Membership, member: Member) -> Membership {
+pub fn admission_step(membership: &Membership, member: Member) -> Membership {
     let is_stale = |other: &&Member| {
         other.role != MemberRole::Voter && other.peer_address == member.peer_address
     };
     if let Some(stale) = membership.members.iter().find(is_stale) {
-        return without(membership, stale.replica);
+        return without_member(membership, stale.replica);
     }
     let mut members = membership.members.clone();
     let role = match member.role {
@@ -97,7 +97,7 @@
 }
 
 /// The membership with a member as a voter.
-pub fn promoting(membership: &Membership, replica: ReplicaId) -> Membership {
+pub fn with_voter(membership: &Membership, replica: ReplicaId) -> Membership {
     let mut next = membership.clone();
     for member in &mut next.members {
         if member.replica == replica {
--- a/crates/replica/tests/members.rs
+++ b/crates/replica/tests/members.rs
@@ -1,8 +1,8 @@
 //! Memberships that follow from a present one.
 
 use grebepin_replica::members::{
-    admitting, best_spread, keeps_quorum_without, promoting, surplus_voter, voter_at, voters,
-    with_zone, without, would_spread,
+    admission_step, improves_zone_spread, keeps_quorum_without, select_learner_by_zone,
+    surplus_voter, voter_at, voters, with_voter, with_zone, without_member,
 };
 use grebepin_schema::{Member, MemberRole, Membership, ReplicaId, SocketAddress, ZoneName};
 
@@ -35,28 +35,31 @@
 
 #[test]
 fn a_newcomer_is_a_learner_whatever_it_claims() {
-    let next = admitting(&three_voters(), member(9, MemberRole::Voter, 7_009));
+    let next = admission_step(&three_voters(), member(9, MemberRole::Voter, 7_009));
     assert_eq!(replicas(&next), [1, 2, 3, 9]);
     assert_eq!(voters(&next).count(), 3);
 }
 
 #[test]
 fn an_older_learner_at_a_newcomers_address_goes_first() {
-    let with_learner = admitting(&three_voters(), member(9, MemberRole::Learner, 7_009));
-    let next = admitting(&with_learner, member(10, MemberRole::Learner, 7_009));
+    let with_learner = admission_step(&three_voters(), member(9, MemberRole::Learner, 7_009));
+    let next = admission_step(&with_learner, member(10, MemberRole::Learner, 7_009));
     assert_eq!(replicas(&next), [1, 2, 3], "one change at a time");
 }
 
 #[test]
 fn a_promoted_learner_is_a_voter_and_a_removed_member_is_gone() {
-    let with_learner = admitting(&three_voters(), member(9, MemberRole::Learner, 7_009));
+    let with_learner = admission_step(&three_voters(), member(9, MemberRole::Learner, 7_009));
     assert_eq!(voter_at(&with_learner, &address("10.0.0.1:7009")), None);
-    let promoted = promoting(&with_learner, ReplicaId(9));
+    let promoted = with_voter(&with_learner, ReplicaId(9));
     assert_eq!(
         voter_at(&promoted, &address("10.0.0.1:7009")),
         Some(ReplicaId(9))
     );
-    assert_eq!(replicas(&without(&promoted, ReplicaId(1))), [2, 3, 9]);
+    assert_eq!(
+        replicas(&without_member(&promoted, ReplicaId(1))),
+        [2, 3, 9]
+    );
 }
 
 #[test]
@@ -94,9 +97,11 @@
         ],
     };
     let learners = || group.members.iter().skip(3);
-    let next = best_spread(&group, learners()).expect("a learner");
+    let next = select_learner_by_zone(&group, learners()).expect("a learner");
     assert_eq!(next.replica, ReplicaId(6));
-    let would: Vec<bool> = learners().map(|one| would_spread(&group, one)).collect();
+    let would: Vec<bool> = learners()
+        .map(|one| improves_zone_spread(&group, one))
+        .collect();
     assert_eq!(would, [false, false, true]);
     assert_eq!(surplus_voter(&group, ReplicaId(1)), Some(ReplicaId(2)));
     assert_eq!(surplus_voter(&group, ReplicaId(2)), Some(ReplicaId(1)));
@@ -108,6 +113,6 @@
 
 #[test]
 fn an_observer_stays_one() {
-    let next = admitting(&three_voters(), member(9, MemberRole::Observer, 7_009));
+    let next = admission_step(&three_voters(), member(9, MemberRole::Observer, 7_009));
     assert_eq!(next.members[3].role, MemberRole::Observer);
 }
