--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a replica does with its log and its members, whatever it replicates: shared by the control
-//! replicas of bundles and by the directory's.
+//! Log writing and membership changes of a replica, independent of the replicated state. Shared by the control
+//! replicas, which replicate bundles, and the replicas of the directory.
 
 mod log_writer;
 pub mod members;
--- a/crates/replica/src/log_writer.rs
+++ b/crates/replica/src/log_writer.rs
@@ -1,38 +1,39 @@
-//! Makes durable what consensus asks for.
+//! Makes the state in a [`Ready`] of consensus durable.
 //!
-//! Invariant: everything of a [`Ready`] that its messages rest on is synced when [`LogWriter::write`] returns.
+//! Invariant: all state that the messages of a [`Ready`] depend on is synced when [`LogWriter::write`] returns.
 
 use grebepin_consensus::Ready;
 use grebepin_schema::{HardState, ReplicaId, Term};
 use grebepin_storage::{Disk, ReplicaStorage, StorageError};
 
-/// What was written.
+/// Counts of one [`LogWriter::write`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriteStats {
-    /// Syncs of the disk.
+    /// Number of storage writes, each of which syncs at least once.
     pub syncs: u64,
-    /// Entries of the log.
+    /// Number of log entries written.
     pub entries: u64,
 }
 
-/// Writes a replica's log; knows which vote is durable already.
+/// Writes the log of a replica. Remembers the durable vote, so that a hard state with the same vote needs no
+/// write of its own.
 #[derive(Debug)]
 pub struct LogWriter {
     durable_vote: (Term, Option<ReplicaId>),
 }
 
 impl LogWriter {
-    /// A writer for a folder that holds this state.
+    /// Creates a writer for a folder whose persisted hard state is `hard_state`.
     pub fn new(hard_state: &HardState) -> Self {
         Self {
             durable_vote: vote_of(hard_state),
         }
     }
 
-    /// Writes and syncs what `ready` holds.
+    /// Writes and syncs the snapshot, the hard state and the entries of `ready`.
     ///
     /// # Errors
-    /// The disk refuses; nothing that rests on the write may leave.
+    /// The write failed; no message of `ready` may be sent.
     pub fn write<D: Disk>(
         &mut self,
         storage: &mut ReplicaStorage<D>,
@@ -46,7 +47,7 @@
         let hard_state = ready.hard_state.as_ref();
         let vote_changed = hard_state.is_some_and(|state| vote_of(state) != self.durable_vote);
         if !vote_changed && ready.entries.is_empty() {
-            // A commit index alone may be forgotten: the leader tells it again.
+            // A commit index alone need not be durable, because the leader sends it again.
             return Ok(written);
         }
         storage.persist(hard_state, &ready.entries)?;
--- a/crates/replica/tests/members.rs
+++ b/crates/replica/tests/members.rs
@@ -1,4 +1,4 @@
-//! Memberships that follow from a present one.
+//! Queries on memberships and single changes of a membership.
 
 use grebepin_replica::members::{
     admission_step, improves_zone_spread, keeps_quorum_without, select_learner_by_zone,
@@ -34,21 +34,21 @@
 }
 
 #[test]
-fn a_newcomer_is_a_learner_whatever_it_claims() {
+fn a_new_member_is_a_learner_even_if_it_claims_to_be_a_voter() {
     let next = admission_step(&three_voters(), member(9, MemberRole::Voter, 7_009));
     assert_eq!(replicas(&next), [1, 2, 3, 9]);
     assert_eq!(voters(&next).count(), 3);
 }
 
 #[test]
-fn an_older_learner_at_a_newcomers_address_goes_first() {
+fn an_older_learner_at_the_same_address_is_removed_first() {
     let with_learner = admission_step(&three_voters(), member(9, MemberRole::Learner, 7_009));
     let next = admission_step(&with_learner, member(10, MemberRole::Learner, 7_009));
     assert_eq!(replicas(&next), [1, 2, 3], "one change at a time");
 }
 
 #[test]
-fn a_promoted_learner_is_a_voter_and_a_removed_member_is_gone() {
+fn a_promoted_learner_is_a_voter_and_a_removed_member_is_absent() {
     let with_learner = admission_step(&three_voters(), member(9, MemberRole::Learner, 7_009));
     assert_eq!(voter_at(&with_learner, &address("10.0.0.1:7009")), None);
     let promoted = with_voter(&with_learner, ReplicaId(9));
@@ -63,17 +63,18 @@
 }
 
 #[test]
-fn a_voter_may_go_only_while_the_others_heard_from_are_a_majority() {
-    let heard = |heard: &'static [u64]| move |replica: ReplicaId| heard.contains(&replica.0);
+fn a_voter_is_removed_only_if_the_responsive_others_are_a_majority() {
+    let responsive =
+        |responsive: &'static [u64]| move |replica: ReplicaId| responsive.contains(&replica.0);
     assert!(keeps_quorum_without(
         &three_voters(),
         ReplicaId(3),
-        heard(&[1, 2])
+        responsive(&[1, 2])
     ));
     assert!(!keeps_quorum_without(
         &three_voters(),
         ReplicaId(3),
-        heard(&[1, 3])
+        responsive(&[1, 3])
     ));
 }
 
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_learner_of_the_zone_with_fewest_voters_is_next() {
+fn a_learner_of_the_zone_with_fewest_voters_is_selected() {
     let group = Membership {
         members: vec![
             in_zone(1, MemberRole::Voter, "a"),
@@ -99,10 +100,10 @@
     let learners = || group.members.iter().skip(3);
     let next = select_learner_by_zone(&group, learners()).expect("a learner");
     assert_eq!(next.replica, ReplicaId(6));
-    let would: Vec<bool> = learners()
+    let improves: Vec<bool> = learners()
         .map(|one| improves_zone_spread(&group, one))
         .collect();
-    assert_eq!(would, [false, false, true]);
+    assert_eq!(improves, [false, false, true]);
     assert_eq!(surplus_voter(&group, ReplicaId(1)), Some(ReplicaId(2)));
     assert_eq!(surplus_voter(&group, ReplicaId(2)), Some(ReplicaId(1)));
     let zone = ZoneName::try_from("c").expect("well formed");
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn an_observer_stays_one() {
+fn an_observer_is_added_as_an_observer() {
     let next = admission_step(&three_voters(), member(9, MemberRole::Observer, 7_009));
     assert_eq!(next.members[3].role, MemberRole::Observer);
 }
