--- a/crates/bundle/examples/bundle_cost.rs
+++ b/crates/bundle/examples/bundle_cost.rs
@@ -1,5 +1,7 @@
-//! Prints size and times of bundles by their count of servers: `cargo run --release -p grebepin-bundle
-//! --example bundle_cost`. Times are the least of several runs on this machine.
+//! Prints the size of bundles and the time to process them, by the number of servers. Each time is the
+//! minimum of several runs.
+//!
+//! `cargo run --release -p grebepin-bundle --example bundle_cost`
 
 use std::time::{Duration, Instant};
 
@@ -26,7 +28,7 @@
     }
 }
 
-/// The example's first service with so many servers.
+/// A bundle with the first service of the example and this number of servers.
 fn bundle(servers: usize) -> Bundle {
     let mut bundle: Bundle = serde_json::from_str(EXAMPLE).expect("the example parses");
     bundle.services.truncate(1);
--- a/crates/bundle/src/check/place.rs
+++ b/crates/bundle/src/check/location.rs
@@ -1,10 +1,10 @@
-//! Where in a bundle a rule is looked at; its text is made only for a finding.
+//! Location in a bundle that a rule is checked at. Its text is built only if there is a finding.
 
 use std::fmt;
 
 /// The bundle, a service, or one entry of a service's list.
 #[derive(Clone, Copy)]
-pub(super) enum Place<'a> {
+pub(super) enum Location<'a> {
     Bundle,
     Service(&'a str),
     Entry {
@@ -14,8 +14,8 @@
     },
 }
 
-impl<'a> Place<'a> {
-    /// An entry of one of this service's lists.
+impl<'a> Location<'a> {
+    /// Location of an entry of a list of this service; in the bundle, of the service with this name.
     pub(super) fn entry(self, list: &'static str, name: &'a str) -> Self {
         match self {
             Self::Service(service) | Self::Entry { service, .. } => Self::Entry {
@@ -27,17 +27,17 @@
         }
     }
 
-    /// Path of a field at this place; an empty one names the place itself.
+    /// Path of a field at this location; an empty `field` stands for the location itself.
     pub(super) fn field(self, field: &str) -> String {
         match (self, field) {
             (Self::Bundle, field) => field.to_owned(),
-            (place, "") => place.to_string(),
-            (place, field) => format!("{place}.{field}"),
+            (location, "") => location.to_string(),
+            (location, field) => format!("{location}.{field}"),
         }
     }
 }
 
-impl fmt::Display for Place<'_> {
+impl fmt::Display for Location<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bundle => formatter.write_str("bundle"),
--- a/crates/bundle/src/check/service.rs
+++ b/crates/bundle/src/check/service.rs
@@ -1,11 +1,11 @@
-//! Rules of one service: sides, servers, classes and policies.
+//! Rules for a service: sides, servers, request classes and policies.
 
 use std::net::SocketAddr;
 
 use grebepin_schema::{RequestClass, Server, Service};
 
-use super::place::Place;
-use super::unique::Unique;
+use super::location::Location;
+use super::unique_values::UniqueValues;
 use super::Findings;
 use crate::finding::FindingKind;
 
@@ -23,69 +23,69 @@
 const MAXIMUM_CONCURRENT_MOVES: u64 = 100_000;
 const MAXIMUM_IMBALANCE_PERCENT: u64 = 10_000;
 
-pub(super) fn check_service(service: &Service, place: Place<'_>, findings: &mut Findings) {
+pub(super) fn check_service(service: &Service, location: Location<'_>, findings: &mut Findings) {
     let shards = service.shards.get().into();
-    findings.range(place, "shards", shards, 1, MAXIMUM_SHARDS);
-    check_sides(service, place, findings);
-    check_servers(service, place, findings);
-    check_classes(&service.classes, place, findings);
-    check_policies(service, place, findings);
+    findings.check_range(location, "shards", shards, 1, MAXIMUM_SHARDS);
+    check_sides(service, location, findings);
+    check_servers(service, location, findings);
+    check_classes(&service.classes, location, findings);
+    check_policies(service, location, findings);
 }
 
-fn check_sides(service: &Service, place: Place<'_>, findings: &mut Findings) {
+fn check_sides(service: &Service, location: Location<'_>, findings: &mut Findings) {
     if service.sides.is_empty() {
-        findings.push(place, "sides", FindingKind::Empty);
+        findings.push(location, "sides", FindingKind::Empty);
         return;
     }
-    let mut names = Unique::default();
+    let mut names = UniqueValues::default();
     for side in &service.sides {
-        let place = place.entry("sides", &side.side);
-        names.insert(&side.side, place, "", findings);
-        findings.range(place, "share", side.share.into(), 0, MAXIMUM_SHARE);
+        let location = location.entry("sides", &side.side);
+        names.insert(&side.side, location, "", findings);
+        findings.check_range(location, "share", side.share.into(), 0, MAXIMUM_SHARE);
         let mut servers = service.servers.iter();
         if side.share > 0 && !servers.any(|server| server.side == side.side) {
-            findings.push(place, "", FindingKind::SideWithoutServers);
+            findings.push(location, "", FindingKind::SideWithoutServers);
         }
     }
     if service.sides.iter().all(|side| side.share == 0) {
-        findings.push(place, "sides", FindingKind::NoShares);
+        findings.push(location, "sides", FindingKind::AllSharesZero);
     }
 }
 
-fn check_servers(service: &Service, place: Place<'_>, findings: &mut Findings) {
+fn check_servers(service: &Service, location: Location<'_>, findings: &mut Findings) {
     if service.servers.is_empty() {
-        findings.push(place, "servers", FindingKind::Empty);
+        findings.push(location, "servers", FindingKind::Empty);
     }
     for server in &service.servers {
-        let place = place.entry("servers", &server.name);
+        let location = location.entry("servers", &server.name);
         if !service.sides.iter().any(|side| side.side == server.side) {
             let side = server.side.to_string();
-            findings.push(place, "side", FindingKind::UnknownSide { side });
+            findings.push(location, "side", FindingKind::UnknownSide { side });
         }
-        check_server(server, place, findings);
+        check_server(server, location, findings);
     }
 }
 
-fn check_server(server: &Server, place: Place<'_>, findings: &mut Findings) {
+fn check_server(server: &Server, location: Location<'_>, findings: &mut Findings) {
     if !is_reachable(&server.address) {
         let address = server.address.to_string();
-        findings.push(place, "address", FindingKind::InvalidAddress { address });
+        findings.push(location, "address", FindingKind::InvalidAddress { address });
     }
     let slots = server.slots.get();
     let connections = server.connections.get();
     let weight = server.weight.get();
-    findings.range(place, "slots", slots.into(), 1, MAXIMUM_SLOTS);
-    findings.range(
-        place,
+    findings.check_range(location, "slots", slots.into(), 1, MAXIMUM_SLOTS);
+    findings.check_range(
+        location,
         "connections",
         connections.into(),
         1,
         MAXIMUM_CONNECTIONS,
     );
-    findings.range(place, "weight", weight.into(), 1, MAXIMUM_WEIGHT);
+    findings.check_range(location, "weight", weight.into(), 1, MAXIMUM_WEIGHT);
     if connections < slots {
         let kind = FindingKind::FewerConnectionsThanSlots { connections, slots };
-        findings.push(place, "connections", kind);
+        findings.push(location, "connections", kind);
     }
 }
 
@@ -97,31 +97,39 @@
     address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast()
 }
 
-fn check_classes(classes: &[RequestClass], place: Place<'_>, findings: &mut Findings) {
+fn check_classes(classes: &[RequestClass], location: Location<'_>, findings: &mut Findings) {
     if classes.is_empty() {
-        findings.push(place, "classes", FindingKind::Empty);
+        findings.push(location, "classes", FindingKind::Empty);
     }
-    let mut names = Unique::default();
+    let mut names = UniqueValues::default();
     for (position, class) in classes.iter().enumerate() {
-        let place = place.entry("classes", &class.name);
-        names.insert(&class.name, place, "", findings);
-        check_class(class, place, findings);
-        let hiding = classes[..position].iter().find(|other| hides(other, class));
-        if let Some(earlier) = hiding {
+        let location = location.entry("classes", &class.name);
+        names.insert(&class.name, location, "", findings);
+        check_class(class, location, findings);
+        let shadowing = classes[..position]
+            .iter()
+            .find(|other| shadows(other, class));
+        if let Some(earlier) = shadowing {
             let earlier = earlier.name.to_string();
-            findings.push(place, "", FindingKind::HiddenClass { earlier });
+            findings.push(location, "", FindingKind::ShadowedClass { earlier });
         }
     }
 }
 
-fn check_class(class: &RequestClass, place: Place<'_>, findings: &mut Findings) {
-    findings.range(place, "priority", class.priority.into(), 0, LOWEST_PRIORITY);
+fn check_class(class: &RequestClass, location: Location<'_>, findings: &mut Findings) {
+    findings.check_range(
+        location,
+        "priority",
+        class.priority.into(),
+        0,
+        LOWEST_PRIORITY,
+    );
     let deadline = class.deadline_ms.get();
-    findings.range(place, "deadline_ms", deadline, 1, MAXIMUM_DEADLINE_MS);
+    findings.check_range(location, "deadline_ms", deadline, 1, MAXIMUM_DEADLINE_MS);
     if !is_path_prefix(&class.path_prefix) {
         let prefix = class.path_prefix.clone();
         findings.push(
-            place,
+            location,
             "path_prefix",
             FindingKind::InvalidPathPrefix { prefix },
         );
@@ -129,7 +137,7 @@
     let method = class.method.as_deref().unwrap_or("GET");
     if method.is_empty() || !method.bytes().all(|byte| byte.is_ascii_uppercase()) {
         let method = method.to_owned();
-        findings.push(place, "method", FindingKind::InvalidMethod { method });
+        findings.push(location, "method", FindingKind::InvalidMethod { method });
     }
 }
 
@@ -138,13 +146,13 @@
     prefix.starts_with('/') && prefix.bytes().all(allowed)
 }
 
-/// Whether `earlier` takes every request that `later` would take.
-fn hides(earlier: &RequestClass, later: &RequestClass) -> bool {
+/// Whether `earlier` matches every request that `later` matches.
+fn shadows(earlier: &RequestClass, later: &RequestClass) -> bool {
     let method_covers = earlier.method.is_none() || earlier.method == later.method;
     method_covers && later.path_prefix.starts_with(&earlier.path_prefix)
 }
 
-fn check_policies(service: &Service, place: Place<'_>, findings: &mut Findings) {
+fn check_policies(service: &Service, location: Location<'_>, findings: &mut Findings) {
     let queue = &service.queue;
     let retry = &service.retry;
     let churn = &service.churn;
@@ -182,6 +190,6 @@
         ),
     ];
     for (field, value, minimum, maximum) in limits {
-        findings.range(place, field, value.into(), minimum, maximum);
+        findings.check_range(location, field, value.into(), minimum, maximum);
     }
 }
--- a/crates/bundle/src/finding.rs
+++ b/crates/bundle/src/finding.rs
@@ -1,13 +1,13 @@
-//! What is wrong with a bundle, and where.
+//! Violations of the rules for bundles, with the field that violates them.
 
 use std::fmt;
 
-/// One broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Path of the field, such as `services[autoriza-venda].servers[av-1].address`.
     pub field: String,
-    /// The rule that is broken.
+    /// The violated rule.
     pub kind: FindingKind,
 }
 
@@ -17,92 +17,92 @@
     }
 }
 
-/// A rule that a bundle breaks.
+/// A rule that a bundle violates.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FindingKind {
-    /// The value is outside its limits.
+    /// A number is outside its range.
     #[error("{value} is outside {minimum} to {maximum}")]
     OutOfRange {
-        /// Value found.
+        /// The value.
         value: u64,
-        /// Least value allowed.
+        /// Lowest allowed value.
         minimum: u64,
-        /// Greatest value allowed.
+        /// Highest allowed value.
         maximum: u64,
     },
-    /// The bundle's canonical form is too large.
+    /// The note, or the canonical form of the bundle, is too large.
     #[error("{bytes} bytes are over the limit of {maximum}")]
     TooLarge {
-        /// Size found.
+        /// Size in bytes.
         bytes: u64,
-        /// Greatest size allowed.
+        /// Maximum size in bytes.
         maximum: u64,
     },
-    /// A list that must not be empty is.
-    #[error("at least one is needed")]
+    /// A list is empty that must not be.
+    #[error("at least one entry is required")]
     Empty,
-    /// A service's paths would be those of the control calls of back ends.
+    /// The paths of the service would be those of the control calls of back ends.
     #[error("the name {name} is reserved: its paths are those of the back ends' control calls")]
     ReservedName {
-        /// Name found.
+        /// The reserved name.
         name: String,
     },
-    /// A name or address stands twice.
+    /// A name or address occurs more than once.
     #[error("{value} stands twice, first at {first}")]
     Duplicate {
-        /// Value found twice.
+        /// The repeated value.
         value: String,
-        /// Path of the first use.
+        /// Path of its first occurrence.
         first: String,
     },
     /// All shares of a service are zero.
-    #[error("all shares are zero; no side may carry the service")]
-    NoShares,
-    /// A side should carry shards and has no server.
+    #[error("all shares are zero; at least one side must have a share")]
+    AllSharesZero,
+    /// A side has a share of the shards but no server.
     #[error("the side has a share and no server")]
     SideWithoutServers,
     /// A server names a side that the service does not have.
     #[error("the service has no side {side}")]
     UnknownSide {
-        /// Side named.
+        /// The unknown side.
         side: String,
     },
-    /// An address is no IP number with a port that others can reach.
+    /// An address is not an IP address and port that can be connected to from other machines.
     #[error("{address} is not a reachable IP number and port")]
     InvalidAddress {
-        /// Address found.
+        /// The invalid address.
         address: String,
     },
-    /// A server accepts fewer connections than it runs requests.
+    /// A server accepts fewer connections than it has slots.
     #[error("{connections} connections are fewer than {slots} slots")]
     FewerConnectionsThanSlots {
-        /// Connections stated.
+        /// Number of connections in the bundle.
         connections: u32,
-        /// Slots stated.
+        /// Number of slots in the bundle.
         slots: u32,
     },
-    /// A path prefix does not start with `/` or holds characters that no path has.
+    /// A path prefix does not start with `/` or contains characters that are not allowed in a path.
     #[error("{prefix:?} is not a path prefix: start with / and use no space, ? or #")]
     InvalidPathPrefix {
-        /// Prefix found.
+        /// The invalid prefix.
         prefix: String,
     },
-    /// A method is not in capital letters.
-    #[error("{method:?} is not an HTTP method in capital letters")]
+    /// An HTTP method is empty or contains characters other than upper-case letters.
+    #[error("{method:?} is not an HTTP method in upper-case letters")]
     InvalidMethod {
-        /// Method found.
+        /// The invalid method.
         method: String,
     },
-    /// An earlier class takes every request of this one.
+    /// An earlier class matches every request that this class matches.
     #[error("the earlier class {earlier} takes all its requests; put the longer prefix first")]
-    HiddenClass {
+    ShadowedClass {
         /// Name of the earlier class.
         earlier: String,
     },
-    /// The first bundle names a parent.
-    #[error("the first bundle has no parent")]
+    /// The first bundle of a deployment has a parent.
+    #[error("the first bundle must not have a parent")]
     UnexpectedParent,
-    /// The bundle does not follow the accepted one.
+    /// The parent of the bundle is not the accepted bundle.
     #[error("the accepted bundle is {accepted}, version {accepted_version}; start from that one")]
     ParentMismatch {
         /// Digest of the accepted bundle.
@@ -110,28 +110,28 @@
         /// Version of the accepted bundle.
         accepted_version: u64,
     },
-    /// The version number does not grow.
+    /// The version is not greater than the accepted version.
     #[error("version {version} does not follow the accepted version {accepted_version}")]
     VersionNotGreater {
-        /// Version found.
+        /// Version of the bundle.
         version: u64,
-        /// Version accepted.
+        /// Version of the accepted bundle.
         accepted_version: u64,
     },
-    /// The deployment's name changed.
+    /// The name of the deployment changed.
     #[error("the deployment is {accepted} and can't change")]
     DeploymentChanged {
         /// Name in the accepted bundle.
         accepted: String,
     },
-    /// A service's count of shards changed.
-    #[error("a service keeps its {accepted} shards for life; make a new service and migrate")]
+    /// The number of shards of a service changed.
+    #[error("a service keeps its {accepted} shards permanently; create a new service and migrate")]
     ShardCountChanged {
-        /// Count in the accepted bundle.
+        /// Number of shards in the accepted bundle.
         accepted: u32,
     },
-    /// A server serves another service, while it may still hold shards of the former.
-    #[error("the server served {accepted}; give the new one a new name, the old may hold shards")]
+    /// A server was moved to another service, although it may still hold shards of the previous one.
+    #[error("the server served {accepted} and may still hold its shards; use a new name for the new server")]
     ServerChangedService {
         /// Service in the accepted bundle.
         accepted: String,
--- a/crates/bundle/src/key.rs
+++ b/crates/bundle/src/key.rs
@@ -1,25 +1,25 @@
-//! Text form of operators' keys: 64 hexadecimal digits for either half.
+//! Text form of the ed25519 keys of operators: 64 hexadecimal digits for a signing key or a public key.
 
 use ed25519_dalek::SigningKey;
 use grebepin_schema::TrustedOperatorPublicKey;
 
 const SECRET_BYTES: usize = 32;
 
-/// Why a text is no signing key.
+/// A text is not a valid signing key.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// The text holds something else than hexadecimal digits.
-    #[error("a signing key is 64 hexadecimal digits; this text holds other characters")]
+    /// The text contains characters other than hexadecimal digits, or an odd number of digits.
+    #[error("a signing key is 64 hexadecimal digits; this text contains other characters or an odd number of digits")]
     NotHexadecimal,
-    /// The text has the wrong length.
+    /// The text does not encode 32 bytes.
     #[error("a signing key is {SECRET_BYTES} bytes in hexadecimal; this one has {bytes} bytes")]
     WrongLength {
-        /// Bytes found.
+        /// Number of bytes that the text encodes.
         bytes: usize,
     },
 }
 
-/// Reads a signing key from its text form; white space round it is ignored.
+/// Parses a signing key; white space around it is ignored.
 pub fn parse_signing_key(text: &str) -> Result<SigningKey, KeyError> {
     let bytes = hex::decode(text.trim()).map_err(|_| KeyError::NotHexadecimal)?;
     let count = bytes.len();
@@ -29,12 +29,12 @@
     Ok(SigningKey::from_bytes(&secret))
 }
 
-/// Text form of a signing key, for a file that only its operator may read.
+/// Encodes a signing key. The text is secret: it belongs in a file that only the operator can read.
 pub fn signing_key_text(key: &SigningKey) -> String {
     hex::encode(key.to_bytes())
 }
 
-/// Public half of a signing key, as settings files name it.
+/// Public key of a signing key, in the form used in settings files.
 pub fn public_key(key: &SigningKey) -> TrustedOperatorPublicKey {
     hex::encode(key.verifying_key().to_bytes())
         .parse()
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,7 +1,7 @@
-//! Bundles: canonical form, digest, sign-off and the rules a bundle must meet.
+//! Configuration bundles: canonical form, digest, sign-off and validation.
 //!
-//! Invariant: two bundles have the same digest exactly when they say the same, however their JSON
-//! was laid out; a signature counts only for the digest it was made over.
+//! Invariant: two bundles have the same digest exactly if their content is the same, regardless of the layout
+//! of their JSON. A signature is valid only for the digest that was signed.
 
 mod canonical;
 mod check;
--- a/crates/bundle/src/sign_off.rs
+++ b/crates/bundle/src/sign_off.rs
@@ -1,7 +1,7 @@
-//! Sign-off: ed25519 signatures of `required` distinct trusted operators over a bundle's digest.
+//! Sign-off: ed25519 signatures of a required number of distinct trusted operators over the digest of a bundle.
 //!
-//! Invariant: one key counts once, whatever names it stands under; a signature that claims a trusted
-//! operator and does not verify refuses the whole bundle.
+//! Invariant: a key counts once, even if several operators have the same key. An invalid signature under the
+//! name of a trusted operator causes the whole bundle to be refused.
 
 use std::collections::BTreeSet;
 
@@ -10,40 +10,40 @@
 
 use crate::canonical::digest;
 
-/// Keeps a signature over a bundle apart from any other use of the same key.
+/// Domain separation: prevents a signature over a bundle from being valid in any other use of the same key.
 const SIGNATURE_DOMAIN: &str = "grebepin bundle 1\n";
 
-/// Why a bundle's sign-off does not suffice.
+/// The sign-off of a bundle is invalid or insufficient.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VerifyError {
-    /// The public key of a trusted operator is not a point of the curve.
+    /// The public key of a trusted operator is not a valid ed25519 key.
     #[error("the public key of operator {} is not an ed25519 key; correct it in the settings", operator.as_str())]
     InvalidPublicKey {
-        /// Operator whose key is wrong.
+        /// Operator whose key is invalid.
         operator: OperatorName,
     },
-    /// A trusted operator's signature does not belong to this bundle.
-    #[error("the signature of operator {} is not over this bundle; sign it again", operator.as_str())]
+    /// A signature under the name of a trusted operator is not valid for this bundle and the operator's key.
+    #[error("the signature of operator {} does not match this bundle; sign it again", operator.as_str())]
     BadSignature {
-        /// Operator named by the signature.
+        /// Operator named in the signature.
         operator: OperatorName,
     },
-    /// Fewer trusted operators signed than are required.
+    /// Fewer distinct trusted keys signed than are required.
     #[error(
         "{valid} of {required} required sign-offs by trusted operators{}",
         describe_untrusted(untrusted)
     )]
     TooFewSignatures {
-        /// Trusted operators who signed.
+        /// Number of distinct trusted keys that signed.
         valid: u32,
-        /// Sign-offs required.
+        /// Number of sign-offs required; at least 1.
         required: u32,
-        /// Signers who are not trusted here.
+        /// Signers that are not among the trusted operators.
         untrusted: Vec<OperatorName>,
     },
 }
 
-/// Signs a bundle for an operator.
+/// Signs a bundle with the key of an operator.
 pub fn sign(bundle: &Bundle, operator: &OperatorName, key: &SigningKey) -> Signature {
     let signature = key.sign(&signed_message(&digest(bundle)));
     Signature {
@@ -54,9 +54,10 @@
     }
 }
 
-/// Verifies that `required` distinct trusted operators signed, and returns the bundle's digest.
+/// Verifies that at least `required` distinct trusted keys signed, and at least one. Returns the digest of the
+/// bundle.
 ///
-/// Signatures of operators who are not trusted count for nothing.
+/// Signatures of operators that are not trusted are ignored.
 pub fn verify(
     signed: &SignedBundle,
     trusted: &[TrustedOperator],
@@ -68,7 +69,7 @@
     let mut untrusted = Vec::new();
     let mut seen = BTreeSet::new();
     for signature in &signed.signatures {
-        // A repeated signature costs no second verification.
+        // Duplicates are skipped, so that they cost no second verification.
         if !seen.insert((&signature.operator, &signature.signature)) {
             continue;
         }
@@ -79,7 +80,7 @@
             untrusted.push(signature.operator.clone());
             continue;
         };
-        verify_one(&message, signature, operator)?;
+        verify_signature(&message, signature, operator)?;
         keys.insert(operator.public_key.clone());
     }
     let valid = keys.len() as u32;
@@ -93,7 +94,7 @@
     Ok(digest)
 }
 
-fn verify_one(
+fn verify_signature(
     message: &[u8],
     signature: &Signature,
     operator: &TrustedOperator,
--- a/crates/bundle/src/successor.rs
+++ b/crates/bundle/src/successor.rs
@@ -1,4 +1,4 @@
-//! Rules between a bundle and the accepted one that it follows.
+//! Rules for a bundle that replaces an accepted one.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::canonical::digest;
 use crate::finding::{Finding, FindingKind};
 
-/// Checks a deployment's first bundle: it has no parent.
+/// Checks the first bundle of a deployment, which must not have a parent.
 pub fn check_first(bundle: &Bundle) -> Result<(), Vec<Finding>> {
     if bundle.parent.is_none() {
         return Ok(());
@@ -15,11 +15,11 @@
     Err(vec![finding("parent", FindingKind::UnexpectedParent)])
 }
 
-/// Checks that `new` may follow the accepted bundle `old`.
+/// Checks that `new` may replace the accepted bundle `old`.
 ///
-/// The version grows, the parent is `old`'s digest, the deployment and each service's count of
-/// shards stay, and a server that stays keeps its service. (It may change its address: the leader waits until a lease
-/// at the former address has ended.)
+/// The version must be greater, the parent must be the digest of `old`, and the deployment, the number of
+/// shards of each service and the service of each remaining server must be unchanged. The address of a server
+/// may change: the leader waits until a lease at the previous address has ended.
 pub fn check_successor(old: &Bundle, new: &Bundle) -> Result<(), Vec<Finding>> {
     let mut findings = Vec::new();
     check_lineage(old, new, &mut findings);
@@ -82,8 +82,8 @@
         .map(|(service, server)| (&server.name, &service.name))
         .collect();
     for (service, server) in servers(new) {
-        let former = accepted.get(&server.name);
-        let Some(former) = former.filter(|former| **former != &service.name) else {
+        let previous = accepted.get(&server.name);
+        let Some(previous) = previous.filter(|previous| **previous != &service.name) else {
             continue;
         };
         let field = format!(
@@ -91,7 +91,7 @@
             service.name.as_str(),
             server.name.as_str()
         );
-        let accepted = former.to_string();
+        let accepted = previous.to_string();
         findings.push(Finding {
             field,
             kind: FindingKind::ServerChangedService { accepted },
--- a/crates/bundle/tests/common/mod.rs
+++ b/crates/bundle/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The bundles of `deployments/`, and a way to change one field.
+//! A bundle from `deployments/`, and a function to change fields of it.
 
 use grebepin_schema::Bundle;
 use serde_json::Value;
@@ -9,7 +9,7 @@
     serde_json::from_str(RECIFE).expect("the deployment's bundle parses")
 }
 
-/// Sets the value at each JSON pointer.
+/// Returns the bundle with the value at each JSON pointer replaced.
 pub fn changed(bundle: &Bundle, changes: &[(&str, Value)]) -> Bundle {
     let mut value = serde_json::to_value(bundle).expect("encodes");
     for (pointer, new) in changes {
--- a/crates/bundle/tests/rules.rs
+++ b/crates/bundle/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule of bundles, broken once.
+//! Violates each rule for bundles once.
 
 mod common;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Field, its new value in JSON, and what the finding says.
+/// Field, its new value in JSON, and a part of the text of the expected finding.
 #[rustfmt::skip]
 const RULES: &[(&str, &str, &str)] = &[
     ("/version", "0", "version: 0 is outside"),
@@ -77,7 +77,7 @@
     assert_finding(check(&bundle), "/note", "note: 4097 bytes");
 }
 
-/// As [`RULES`], between the deployment's bundle and one that follows it.
+/// Like [`RULES`], for a bundle that replaces the bundle of the deployment.
 #[rustfmt::skip]
 const SUCCESSOR_RULES: &[(&str, &str, &str)] = &[
     ("/deployment", "\"caruaru\"", "deployment: the deployment is recife"),
--- a/crates/bundle/tests/sign_off.rs
+++ b/crates/bundle/tests/sign_off.rs
@@ -1,4 +1,4 @@
-//! Digest and sign-off.
+//! Tests of the digest and the sign-off of bundles.
 
 mod common;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_digest_is_of_what_a_bundle_says_not_of_its_layout() {
+fn the_digest_depends_on_the_content_and_not_on_the_layout() {
     let bundle = recife();
     let compact = RECIFE.replace("\n", "");
     let without_default = RECIFE.replace(",\n          \"weight\": 100", "");
@@ -49,7 +49,7 @@
     );
 }
 
-/// JSON without white space whose fields are sorted by name, written without the generated types.
+/// Writes JSON without white space and with fields sorted by name, independently of the generated types.
 fn sorted(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
@@ -107,7 +107,7 @@
             Ok(()),
         ),
         (
-            "one of one among strangers",
+            "one of one, with an untrusted signer",
             vec![by("aline", 1), by("eve", 9)],
             1,
             Ok(()),
@@ -120,26 +120,31 @@
             Err(too_few(0, 1, &[])),
         ),
         (
-            "the same twice",
+            "the same signature twice",
             vec![by("aline", 1), by("aline", 1)],
             2,
             Err(too_few(1, 2, &[])),
         ),
         (
-            "one key, two names",
+            "one key under two names",
             vec![by("bento", 2), by("cida", 2)],
             2,
             Err(too_few(1, 2, &[])),
         ),
         (
-            "a stranger",
+            "an untrusted signer",
             vec![by("aline", 1), by("eve", 9)],
             2,
             Err(too_few(1, 2, &["eve"])),
         ),
-        ("a stolen name", vec![by("aline", 9)], 1, Err(bad("aline"))),
         (
-            "over another bundle",
+            "another key under a trusted name",
+            vec![by("aline", 9)],
+            1,
+            Err(bad("aline")),
+        ),
+        (
+            "signature over another bundle",
             vec![over_another, by("bento", 2)],
             1,
             Err(bad("aline")),
