--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -52,7 +52,7 @@
     /// The router's own answer to a request.
     pub fn rejected(answer: &FinalAnswer, request_id: Option<&RequestId>) -> Self {
         let kind = answer.reject.unwrap_or(RejectKind::OutcomeUnknown);
-        let body = reply::reject(answer, request_id.cloned());
+        let body = reply::reject_body(answer, request_id.cloned());
         let body = body.and_then(|body| serde_json::to_vec(&body).ok());
         let mut reply = Self::json(
             reply::status(kind, answer.outcome),
--- a/crates/router/src/back_end.rs
+++ b/crates/router/src/back_end.rs
@@ -233,7 +233,7 @@
         .read_response_head(limit, method)
         .map_err(|error| loss_of(&error))?;
     if head.headers.text(REQUEST_ID) != Some(request.request_id.as_str()) {
-        return Err(LossReason::Crossed);
+        return Err(LossReason::Mismatched);
     }
     let body = connection
         .read_body(head.body, maximum, limit)
--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -174,7 +174,7 @@
 
 /// Tells a caller over the bound to come back, without waiting for it.
 fn turn_away(stream: TcpStream) {
-    let last = reply::before_sending(
+    let last = reply::rejected_before_send(
         RejectKind::QueueFull,
         u32::MAX,
         Some(RETRY_AFTER_TURNED_AWAY),
@@ -281,7 +281,7 @@
             HttpError::Malformed => BAD_REQUEST,
             HttpError::Closed | HttpError::Truncated | HttpError::Io(_) => return,
         };
-        let last = reply::before_sending(RejectKind::BadHeader, u32::MAX, None);
+        let last = reply::rejected_before_send(RejectKind::BadHeader, u32::MAX, None);
         let mut answer = Answer::rejected(&last, None);
         answer.status = status;
         self.write(&answer, false);
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -13,7 +13,7 @@
 use grebepin_schema::framing::{read_frame, write_frame, FrameError};
 use grebepin_schema::{ControlFrame, FollowRequest, LogIndex, RouterFrame};
 use grebepin_telemetry::{event, Event};
-use grebepin_traffic::{ApplyError, Change, RoutingTable};
+use grebepin_traffic::{ApplyError, ApplyOutcome, RoutingTable};
 
 use crate::report::report;
 use crate::shared::Shared;
@@ -182,14 +182,14 @@
             ControlFrame::Snapshot(snapshot) => {
                 self.ask_whole = false;
                 let mut table = self.shared.view().table.clone();
-                if table.apply_snapshot(&snapshot)? == Change::Applied {
+                if table.apply_snapshot(&snapshot)? == ApplyOutcome::Applied {
                     self.put_in_force(table);
                 }
             }
             ControlFrame::Delta(delta) => {
                 let view = self.shared.view();
                 let mut table = view.table.clone();
-                if table.apply_delta(&delta)? == Change::Applied {
+                if table.apply_delta(&delta)? == ApplyOutcome::Applied {
                     match delta.standings.is_empty() {
                         true => self.shared.put_in_force(view.with_owners(table)),
                         false => self.put_in_force(table),
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -9,7 +9,7 @@
 use grebepin_telemetry::{event, Event};
 use grebepin_traffic::flow::DRAIN_GRACE;
 use grebepin_traffic::{
-    AdmissionRefusal, FinalAnswer, Finding, FlowAction, FlowInput, LossReason, RequestFlow,
+    AdmissionRefusal, FinalAnswer, FlowAction, FlowInput, LossReason, OwnerLookup, RequestFlow,
     RequestSpec, Target, Verdict,
 };
 
@@ -57,12 +57,12 @@
     loop {
         let input = match action {
             FlowAction::Finish(last) => return (trip.finish(&last), last),
-            FlowAction::Lookup => FlowInput::Found(trip.look_up()),
+            FlowAction::Lookup => FlowInput::LookedUp(trip.look_up()),
             FlowAction::Admit(target) => trip.admit(&target),
             FlowAction::Send { target, until } => trip.send(&target, until),
             FlowAction::Cancel { target, until } => trip.cancel(&target, until),
-            FlowAction::Wait { beyond, until } => {
-                match shared.wait_for_table(beyond, shared.clock.instant(until)) {
+            FlowAction::Wait { newer_than, until } => {
+                match shared.wait_for_table(newer_than, shared.clock.instant(until)) {
                     true => FlowInput::Woken,
                     false => FlowInput::CannotWait,
                 }
@@ -83,7 +83,7 @@
 }
 
 impl Trip<'_> {
-    fn look_up(&mut self) -> Finding {
+    fn look_up(&mut self) -> OwnerLookup {
         self.view = self.shared.view();
         find(&self.view, &self.routed.service, &self.routed.key)
     }
@@ -212,7 +212,7 @@
             SendResult::NotSent(ConnectError::Failed(_)) => true,
             SendResult::NotSent(_) => return,
             SendResult::Lost(LossReason::TimedOut) if given < TELLING_TIME => return,
-            SendResult::Lost(LossReason::Crossed) => {
+            SendResult::Lost(LossReason::Mismatched) => {
                 self.shared.metrics.mismatched_answers.inc();
                 event!(Event::AnswerMismatched, server = target.server.as_str());
                 true
@@ -224,11 +224,11 @@
         let now = self.shared.now();
         let state = &self.routed.state;
         if !failed {
-            if state.ejection(|ejection| ejection.succeeded(&target.server)) {
+            if state.ejection(|ejection| ejection.record_success(&target.server)) {
                 gate.warm_up();
                 event!(Event::ServerReadmitted, server = target.server.as_str());
             }
-        } else if state.ejection(|ejection| ejection.failed(&target.server, now, pool)) {
+        } else if state.ejection(|ejection| ejection.record_failure(&target.server, now, pool)) {
             event!(Event::ServerEjected, server = target.server.as_str());
         }
     }
@@ -246,12 +246,12 @@
 }
 
 /// What the table in force says of a key.
-pub fn find(view: &View, service: &ServiceName, key: &str) -> Finding {
+pub fn find(view: &View, service: &ServiceName, key: &str) -> OwnerLookup {
     let table_index = view.table.index();
     if !view.table.is_ready() {
-        return Finding::NoTable;
+        return OwnerLookup::NoTable;
     }
-    let nobody = Finding::NoOwner { table_index };
+    let nobody = OwnerLookup::NoOwner { table_index };
     let Some(route) = view.table.service(service) else {
         return nobody;
     };
@@ -268,7 +268,7 @@
     if !usable {
         return nobody;
     }
-    Finding::Owner(Target {
+    OwnerLookup::Owner(Target {
         shard: owner.shard,
         epoch: owner.epoch,
         server: server.name.clone(),
--- a/crates/router/src/gate.rs
+++ b/crates/router/src/gate.rs
@@ -9,7 +9,7 @@
 
 use grebepin_schema::{Server, ServerName, SocketAddress};
 use grebepin_traffic::{
-    Admission, AdmissionConfig, AdmissionEvent, AdmissionRefusal, Offer, Ramp, Ticket,
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionEvent, AdmissionRefusal, Ramp, Ticket,
 };
 
 use crate::clock::Clock;
@@ -155,9 +155,9 @@
         let ticket = {
             let mut state = self.lock();
             match state.admission.offer(self.clock.now(), priority, deadline) {
-                Offer::Admitted => return Ok(self.slot()),
-                Offer::Refused(refusal) => return Err(Denied::Refused(refusal)),
-                Offer::Waiting { ticket, displaced } => {
+                AdmissionDecision::Admitted => return Ok(self.slot()),
+                AdmissionDecision::Refused(refusal) => return Err(Denied::Refused(refusal)),
+                AdmissionDecision::Waiting { ticket, displaced } => {
                     let waiter = Waiter {
                         thread: std::thread::current(),
                         decision: None,
--- a/crates/router/src/handle.rs
+++ b/crates/router/src/handle.rs
@@ -41,7 +41,7 @@
         RejectKind::QueueFull => Some(RETRY_AFTER_FULL),
         _ => None,
     };
-    let answer = reply::before_sending(kind, attempt_of(&request.head), retry_after);
+    let answer = reply::rejected_before_send(kind, attempt_of(&request.head), retry_after);
     if let Some((service, _)) = split_target(&request.head.target) {
         if let Some(state) = shared.view().service(service) {
             let elapsed = request.arrived.elapsed().as_secs_f64();
@@ -98,7 +98,7 @@
             repeatable: class.repeatable,
             attempt: headers.attempt,
             deadline: shared.clock.time_of(request.arrived) + wanted.min(longest),
-            sends: route.service.retry.attempts.get(),
+            max_sends: route.service.retry.attempts.get(),
         },
     })
 }
--- a/crates/router/src/lookup.rs
+++ b/crates/router/src/lookup.rs
@@ -7,7 +7,7 @@
 use grebepin_schema::{
     OutcomeAnswer, OutcomeLookup, RejectKind, RequestId, RequestState, ServiceName,
 };
-use grebepin_traffic::{reply, Finding, Target};
+use grebepin_traffic::{reply, OwnerLookup, Target};
 
 use crate::answer::Answer;
 use crate::back_end;
@@ -38,7 +38,7 @@
                 | RejectKind::QueueFull => Some(RETRY_AFTER),
                 _ => None,
             };
-            let last = reply::before_sending(kind, NOTHING_KNOWN, retry_after);
+            let last = reply::rejected_before_send(kind, NOTHING_KNOWN, retry_after);
             Answer::rejected(&last, None)
         }
     }
@@ -59,9 +59,9 @@
     let key = request::key(&request.head)?;
     let view = shared.view();
     let target = match find(&view, &service, &key) {
-        Finding::NoTable => return Err(RejectKind::NoTable),
-        Finding::NoOwner { .. } => return Err(RejectKind::NoOwner),
-        Finding::Owner(target) => target,
+        OwnerLookup::NoTable => return Err(RejectKind::NoTable),
+        OwnerLookup::NoOwner { .. } => return Err(RejectKind::NoOwner),
+        OwnerLookup::Owner(target) => target,
     };
     let _permit = shared
         .permit(LOWEST_PRIORITY)
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -36,7 +36,7 @@
         self.retry
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .first_attempt();
+            .record_first_attempt();
     }
 
     /// Takes a retry out of the budget.
@@ -44,7 +44,7 @@
         self.retry
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .take()
+            .try_take()
     }
 
     /// Runs `use_it` on the service's ejections.
--- a/crates/sim/src/actors/router.rs
+++ b/crates/sim/src/actors/router.rs
@@ -11,7 +11,7 @@
     ServerStanding, SocketAddress, ZoneName,
 };
 use grebepin_traffic::{
-    Admission, AdmissionConfig, Change, Ejection, EjectionConfig, Guards, Ramp, RetryBudget,
+    Admission, AdmissionConfig, ApplyOutcome, Ejection, EjectionConfig, Guards, Ramp, RetryBudget,
     RoutingTable,
 };
 
@@ -181,8 +181,8 @@
             ControlFrame::Current(_) | ControlFrame::Redirect(_) => return,
         };
         match applied {
-            Ok(Change::Applied) => self.table_changed(now),
-            Ok(Change::Stale) => {}
+            Ok(ApplyOutcome::Applied) => self.table_changed(now),
+            Ok(ApplyOutcome::Stale) => {}
             Err(_) => self.ask_again(now),
         }
     }
--- a/crates/sim/src/actors/router_flows.rs
+++ b/crates/sim/src/actors/router_flows.rs
@@ -9,8 +9,8 @@
     ServiceName,
 };
 use grebepin_traffic::{
-    AdmissionEvent, AdmissionRefusal, FinalAnswer, Finding, FlowAction, FlowInput, LossReason,
-    Offer, RequestFlow, RequestSpec, Target, Ticket, Verdict,
+    AdmissionDecision, AdmissionEvent, AdmissionRefusal, FinalAnswer, FlowAction, FlowInput,
+    LossReason, OwnerLookup, RequestFlow, RequestSpec, Target, Ticket, Verdict,
 };
 
 use super::router::{RouterActor, RouterEffect};
@@ -50,9 +50,9 @@
             repeatable: request.repeatable,
             attempt: request.attempt,
             deadline,
-            sends: SENDS,
+            max_sends: SENDS,
         };
-        self.retry.first_attempt();
+        self.retry.record_first_attempt();
         let (flow, action) = RequestFlow::start(spec, now);
         let number = self.next_number();
         let entry = Flow {
@@ -70,21 +70,21 @@
         let mut action = first;
         loop {
             let input = match action {
-                FlowAction::Lookup => FlowInput::Found(self.find(now, number)),
+                FlowAction::Lookup => FlowInput::LookedUp(self.find(now, number)),
                 FlowAction::Admit(target) => match self.admit(now, number, &target) {
                     Some(input) => input,
                     None => return,
                 },
-                FlowAction::TakeRetry => FlowInput::Retry(self.retry.take()),
+                FlowAction::TakeRetry => FlowInput::Retry(self.retry.try_take()),
                 FlowAction::Send { target, until } => {
                     return self.send_work(now, number, &target, until);
                 }
                 FlowAction::Cancel { target, until } => {
                     return self.send_cancel(now, number, &target, until);
                 }
-                FlowAction::Wait { beyond, until } => {
-                    if self.table.index() <= beyond {
-                        return self.wait(number, beyond, until);
+                FlowAction::Wait { newer_than, until } => {
+                    if self.table.index() <= newer_than {
+                        return self.wait(number, newer_than, until);
                     }
                     FlowInput::Woken
                 }
@@ -104,12 +104,12 @@
         }
     }
 
-    fn find(&self, now: Duration, number: u64) -> Finding {
+    fn find(&self, now: Duration, number: u64) -> OwnerLookup {
         if !self.table.is_ready() {
-            return Finding::NoTable;
+            return OwnerLookup::NoTable;
         }
         let table_index = self.table.index();
-        let none = Finding::NoOwner { table_index };
+        let none = OwnerLookup::NoOwner { table_index };
         let Some(flow) = self.flows.get(&number) else {
             return none;
         };
@@ -127,7 +127,7 @@
         if standing == ServerStanding::Gone || left {
             return none;
         }
-        Finding::Owner(Target {
+        OwnerLookup::Owner(Target {
             shard: owner.shard,
             epoch: owner.epoch,
             server: server.name.clone(),
@@ -148,9 +148,9 @@
         };
         let priority = u32::from(self.flows.get(&number)?.request.repeatable);
         match admission.offer(now, priority, deadline) {
-            Offer::Admitted => Some(FlowInput::Admitted),
-            Offer::Refused(refusal) => Some(FlowInput::NotAdmitted(refusal)),
-            Offer::Waiting { ticket, displaced } => {
+            AdmissionDecision::Admitted => Some(FlowInput::Admitted),
+            AdmissionDecision::Refused(refusal) => Some(FlowInput::NotAdmitted(refusal)),
+            AdmissionDecision::Waiting { ticket, displaced } => {
                 self.waiters.insert((target.server.clone(), ticket), number);
                 if let Some((ticket, refusal)) = displaced {
                     let events = vec![AdmissionEvent::Refused(ticket, refusal)];
@@ -286,7 +286,7 @@
             WorkReply::Answered { request } if Some(&request) == own.as_ref() => {
                 FlowInput::Answered
             }
-            WorkReply::Answered { .. } => FlowInput::Lost(LossReason::Crossed),
+            WorkReply::Answered { .. } => FlowInput::Lost(LossReason::Mismatched),
             WorkReply::Refused(refusal) => FlowInput::Refused(refusal),
             WorkReply::NotSent => FlowInput::NotSent,
             WorkReply::Broken => FlowInput::Lost(LossReason::Broken),
@@ -322,8 +322,12 @@
     fn end_exchange(&mut self, now: Duration, exchange: &Exchange, input: &FlowInput) {
         let server = &exchange.server;
         match input {
-            FlowInput::Answered | FlowInput::Refused(_) => _ = self.ejection.succeeded(server),
-            _ => _ = self.ejection.failed(server, now, self.admissions.len()),
+            FlowInput::Answered | FlowInput::Refused(_) => _ = self.ejection.record_success(server),
+            _ => {
+                _ = self
+                    .ejection
+                    .record_failure(server, now, self.admissions.len())
+            }
         }
         let Some(admission) = self.admissions.get_mut(server) else {
             return;
--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -10,10 +10,10 @@
 use crate::ramp::Ramp;
 
 /// Shortest time after which a refused caller is told to come back.
-pub const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(50);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Longest time after which a refused caller is told to come back.
-pub const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(5);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Time without a shed request after which a router tries one more slot of the server.
 const SHARE_RECOVERY: Duration = Duration::from_secs(2);
@@ -62,7 +62,7 @@
 
 /// The answer to a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum AdmissionDecision {
     /// Send it now.
     Admitted,
     /// It waits; an event follows.
@@ -135,16 +135,16 @@
     }
 
     /// Asks for a slot. `deadline` is on the same clock as `now`.
-    pub fn offer(&mut self, now: Duration, priority: u32, deadline: Duration) -> Offer {
+    pub fn offer(&mut self, now: Duration, priority: u32, deadline: Duration) -> AdmissionDecision {
         if deadline <= now {
-            return Offer::Refused(self.too_near());
+            return AdmissionDecision::Refused(self.too_near());
         }
         if self.queue.is_empty() && self.in_flight < self.limit(now) {
             if self.is_too_late(now, deadline) {
-                return Offer::Refused(self.too_near());
+                return AdmissionDecision::Refused(self.too_near());
             }
             self.in_flight += 1;
-            return Offer::Admitted;
+            return AdmissionDecision::Admitted;
         }
         let ticket = Ticket(self.next_ticket);
         let rank = Rank {
@@ -153,15 +153,15 @@
             ticket,
         };
         if now + self.time_to_answer(now, &rank) > deadline {
-            return Offer::Refused(self.too_near());
+            return AdmissionDecision::Refused(self.too_near());
         }
         let displaced = match self.make_room(priority) {
             Ok(displaced) => displaced,
-            Err(refusal) => return Offer::Refused(refusal),
+            Err(refusal) => return AdmissionDecision::Refused(refusal),
         };
         self.next_ticket += 1;
         self.queue.insert(rank, ());
-        Offer::Waiting { ticket, displaced }
+        AdmissionDecision::Waiting { ticket, displaced }
     }
 
     /// Takes back a request that waits; true when it did wait.
@@ -330,6 +330,6 @@
     /// Time in which the present queue empties.
     fn retry_after(&self) -> Duration {
         let rounds = self.queue.len() as u32 / self.config.slots.max(1) + 1;
-        (self.service_time * rounds).clamp(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER)
+        (self.service_time * rounds).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
--- a/crates/traffic/src/ejection.rs
+++ b/crates/traffic/src/ejection.rs
@@ -96,7 +96,7 @@
     }
 
     /// The server answered or refused in a typed way; true when this ends an ejection.
-    pub fn succeeded(&mut self, server: &ServerName) -> bool {
+    pub fn record_success(&mut self, server: &ServerName) -> bool {
         let Some(health) = self.servers.get_mut(server) else {
             return false;
         };
@@ -106,7 +106,7 @@
     }
 
     /// The server gave no whole answer; `pool` counts the service's servers. True when this ejects it.
-    pub fn failed(&mut self, server: &ServerName, now: Duration, pool: usize) -> bool {
+    pub fn record_failure(&mut self, server: &ServerName, now: Duration, pool: usize) -> bool {
         let room = self.ejected() < self.most_ejected(pool);
         let config = self.config;
         let health = self.servers.entry(server.clone()).or_default();
--- a/crates/traffic/src/flow.rs
+++ b/crates/traffic/src/flow.rs
@@ -13,7 +13,9 @@
 
 use crate::admission::AdmissionRefusal;
 
-pub use machine::{RequestFlow, CANCEL_TIME, DRAIN_GRACE, FIRST_PAUSE, PATIENCE, RELEASE_PAUSE};
+pub use machine::{
+    RequestFlow, CANCEL_TIME, DRAIN_GRACE, FIRST_RETRY_DELAY, MAX_WAIT, RELEASE_RETRY_DELAY,
+};
 
 /// What a flow must know of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +27,7 @@
     /// When the caller must have its answer.
     pub deadline: Duration,
     /// Most times that this router sends it.
-    pub sends: u32,
+    pub max_sends: u32,
 }
 
 /// Where a request goes.
@@ -45,7 +47,7 @@
 
 /// What the table says of a request's shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum OwnerLookup {
     /// There is no table yet.
     NoTable,
     /// No server may get the request now.
@@ -65,7 +67,7 @@
     /// The connection failed.
     Broken,
     /// The answer belongs to another request, or names none.
-    Crossed,
+    Mismatched,
     /// Another server owns the shard by now, and the answer did not come soon after that.
     Superseded,
     /// The answer breaks the protocol or a bound on sizes.
@@ -76,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlowInput {
     /// To [`FlowAction::Lookup`].
-    Found(Finding),
+    LookedUp(OwnerLookup),
     /// To [`FlowAction::Admit`]: send it.
     Admitted,
     /// To [`FlowAction::Admit`]: not now.
@@ -120,10 +122,10 @@
         /// When to give up.
         until: Duration,
     },
-    /// Wait until the table's index is above `beyond`, at most until `until`.
+    /// Wait until the table's index is above `newer_than`, at most until `until`.
     Wait {
         /// Index that was not good enough.
-        beyond: LogIndex,
+        newer_than: LogIndex,
         /// When to wake up in any case.
         until: Duration,
     },
--- a/crates/traffic/src/flow/machine.rs
+++ b/crates/traffic/src/flow/machine.rs
@@ -9,22 +9,22 @@
 use grebepin_schema::{CancelAnswer, LogIndex, Outcome, Refusal, RejectKind, RequestState};
 
 use super::tried::{Again, Failure, Tried};
-use super::{FinalAnswer, Finding, FlowAction, FlowInput, RequestSpec, Target};
+use super::{FinalAnswer, FlowAction, FlowInput, OwnerLookup, RequestSpec, Target};
 use crate::admission::AdmissionRefusal;
 
 /// Longest time one request waits, in all, for the table to change or an owner to come back. It never
 /// waits for longer than a part of its time left, so that enough is left to run it, or to be told early.
-pub const PATIENCE: Duration = Duration::from_millis(1500);
+pub const MAX_WAIT: Duration = Duration::from_millis(1500);
 
 /// Part of the time left, one in this many, for which a request waits at most.
 const PATIENCE_PART: u32 = 2;
 
 /// Pause before an owner is asked again at the same epoch: the time in which a new owner gets its grant.
 /// A second pause lasts to the end of the patience.
-pub const FIRST_PAUSE: Duration = Duration::from_millis(20);
+pub const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The same for an owner that releases the shard or fetches its record: most often it gives it away.
-pub const RELEASE_PAUSE: Duration = Duration::from_millis(100);
+pub const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Longest time for the cancellation of a request.
 pub const CANCEL_TIME: Duration = Duration::from_millis(100);
@@ -87,7 +87,7 @@
     pub fn step(&mut self, now: Duration, input: FlowInput) -> FlowAction {
         let state = std::mem::replace(&mut self.state, State::LookingUp);
         match (state, input) {
-            (State::LookingUp, FlowInput::Found(finding)) => self.found(now, finding),
+            (State::LookingUp, FlowInput::LookedUp(finding)) => self.found(now, finding),
             (State::Admitting(target), FlowInput::Admitted) => self.send(now, target),
             (State::Admitting(_), FlowInput::NotAdmitted(refusal)) => self.not_admitted(refusal),
             (State::Admitting(target), FlowInput::NotSent) => self.not_sent(now, target),
@@ -121,14 +121,14 @@
         FlowAction::Lookup
     }
 
-    fn found(&mut self, now: Duration, finding: Finding) -> FlowAction {
+    fn found(&mut self, now: Duration, finding: OwnerLookup) -> FlowAction {
         match finding {
-            Finding::NoTable => self.finish(Failure::of(RejectKind::NoTable)),
-            Finding::NoOwner { table_index } => {
+            OwnerLookup::NoTable => self.finish(Failure::of(RejectKind::NoTable)),
+            OwnerLookup::NoOwner { table_index } => {
                 let until = self.patience_end(now);
                 self.wait(now, table_index, until, Failure::of(RejectKind::NoOwner))
             }
-            Finding::Owner(target) => self.found_owner(now, target),
+            OwnerLookup::Owner(target) => self.found_owner(now, target),
         }
     }
 
@@ -146,10 +146,10 @@
             }
             again_at => {
                 let until = again_at.unwrap_or(self.patience_end(now));
-                let beyond = target.table_index;
+                let newer_than = target.table_index;
                 let failure = tried.failure;
                 self.tried = Some(tried);
-                self.wait(now, beyond, until, failure)
+                self.wait(now, newer_than, until, failure)
             }
         }
     }
@@ -208,9 +208,11 @@
         match refusal {
             Refusal::Draining => self.not_run(now, target, failure, Again::Never),
             Refusal::WrongEpoch | Refusal::NoLease => {
-                self.not_run(now, target, failure, Again::After(FIRST_PAUSE))
+                self.not_run(now, target, failure, Again::After(FIRST_RETRY_DELAY))
+            }
+            Refusal::Releasing => {
+                self.not_run(now, target, failure, Again::After(RELEASE_RETRY_DELAY))
             }
-            Refusal::Releasing => self.not_run(now, target, failure, Again::After(RELEASE_PAUSE)),
             Refusal::Shed => self.shed(now, target),
             Refusal::Deadline => self.finish(Failure::after(
                 RejectKind::DeadlineTooNear,
@@ -234,7 +236,7 @@
         if self.paused {
             return self.finish(failure);
         }
-        self.not_run(now, target, failure, Again::After(FIRST_PAUSE))
+        self.not_run(now, target, failure, Again::After(FIRST_RETRY_DELAY))
     }
 
     fn lost(&mut self, now: Duration, target: Target) -> FlowAction {
@@ -275,7 +277,7 @@
         again: Again,
     ) -> FlowAction {
         let end = self.patience_end(now);
-        if self.sent >= self.spec.sends || now >= end {
+        if self.sent >= self.spec.max_sends || now >= end {
             return self.finish(failure);
         }
         let again_at = match (again, std::mem::replace(&mut self.paused, true)) {
@@ -283,18 +285,18 @@
             (Again::After(pause), false) => Some((now + pause).min(end)),
             (Again::After(_), true) => Some(end),
         };
-        let beyond = target.table_index;
+        let newer_than = target.table_index;
         self.tried = Some(Tried {
             target,
             failure,
             again_at,
         });
-        self.wait(now, beyond, again_at.unwrap_or(end), failure)
+        self.wait(now, newer_than, again_at.unwrap_or(end), failure)
     }
 
     /// Sends a request that may be repeated again, at once.
     fn send_again(&mut self, now: Duration, failure: Failure) -> FlowAction {
-        if self.sent >= self.spec.sends || self.time_left(now) < LEAST_TIME_LEFT {
+        if self.sent >= self.spec.max_sends || self.time_left(now) < LEAST_TIME_LEFT {
             return self.finish(failure);
         }
         self.state = State::AskingRetry(None);
@@ -312,7 +314,7 @@
     fn wait(
         &mut self,
         now: Duration,
-        beyond: LogIndex,
+        newer_than: LogIndex,
         until: Duration,
         failure: Failure,
     ) -> FlowAction {
@@ -320,12 +322,12 @@
             return self.finish(failure);
         }
         self.state = State::Waiting(failure);
-        FlowAction::Wait { beyond, until }
+        FlowAction::Wait { newer_than, until }
     }
 
     /// End of all waiting of this request; fixed at the first wait.
     fn patience_end(&mut self, now: Duration) -> Duration {
-        let patience = PATIENCE.min(self.time_left(now) / PATIENCE_PART);
+        let patience = MAX_WAIT.min(self.time_left(now) / PATIENCE_PART);
         *self.patience_end.get_or_insert(now + patience)
     }
 
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -14,12 +14,14 @@
 pub mod retry;
 pub mod table;
 
-pub use admission::{Admission, AdmissionConfig, AdmissionEvent, AdmissionRefusal, Offer, Ticket};
+pub use admission::{
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionEvent, AdmissionRefusal, Ticket,
+};
 pub use ejection::{Ejection, EjectionConfig, Verdict};
 pub use flow::{
-    FinalAnswer, Finding, FlowAction, FlowInput, LossReason, RequestFlow, RequestSpec, Target,
+    FinalAnswer, FlowAction, FlowInput, LossReason, OwnerLookup, RequestFlow, RequestSpec, Target,
 };
 pub use guards::{Guard, Guards};
 pub use ramp::Ramp;
 pub use retry::RetryBudget;
-pub use table::{ApplyError, Change, Owner, RoutingTable, ServiceRoute};
+pub use table::{ApplyError, ApplyOutcome, Owner, RoutingTable, ServiceRoute};
--- a/crates/traffic/src/reply.rs
+++ b/crates/traffic/src/reply.rs
@@ -61,7 +61,7 @@
 }
 
 /// Body of a router's own answer; `None` when the owner's answer is passed on.
-pub fn reject(answer: &FinalAnswer, request_id: Option<RequestId>) -> Option<Reject> {
+pub fn reject_body(answer: &FinalAnswer, request_id: Option<RequestId>) -> Option<Reject> {
     let kind = answer.reject?;
     Some(Reject {
         kind,
@@ -74,7 +74,7 @@
 
 /// A rejection before the request could be sent at all. `attempt` is the caller's: of a resend it is
 /// not known whether an earlier attempt ran.
-pub fn before_sending(
+pub fn rejected_before_send(
     kind: RejectKind,
     attempt: u32,
     retry_after: Option<Duration>,
--- a/crates/traffic/src/retry.rs
+++ b/crates/traffic/src/retry.rs
@@ -37,12 +37,12 @@
     }
 
     /// Counts a first attempt.
-    pub fn first_attempt(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.hundredths = (self.hundredths + self.percent).min(RESERVE_RETRIES * WHOLE);
     }
 
     /// Takes one retry out; false when the budget is spent.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.percent == 0 || self.hundredths < WHOLE {
             return false;
         }
--- a/crates/traffic/src/table.rs
+++ b/crates/traffic/src/table.rs
@@ -16,7 +16,7 @@
 
 /// What became of a snapshot or a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum ApplyOutcome {
     /// It is in force.
     Applied,
     /// It is not newer than what is in force, and was left out.
@@ -166,10 +166,10 @@
     ///
     /// # Errors
     /// [`ApplyError`] when it is of another group or inconsistent; the table stays as it was.
-    pub fn apply_snapshot(&mut self, snapshot: &TableSnapshot) -> Result<Change, ApplyError> {
+    pub fn apply_snapshot(&mut self, snapshot: &TableSnapshot) -> Result<ApplyOutcome, ApplyError> {
         self.check_group(snapshot.group)?;
         if self.is_stale(snapshot.index) {
-            return Ok(Change::Stale);
+            return Ok(ApplyOutcome::Stale);
         }
         let mut services = BTreeMap::new();
         for table in &snapshot.table.services {
@@ -180,17 +180,17 @@
         self.index = snapshot.index;
         self.bundle_version = snapshot.table.bundle_version;
         self.bundle_digest = snapshot.table.bundle_digest.clone();
-        Ok(Change::Applied)
+        Ok(ApplyOutcome::Applied)
     }
 
     /// Puts changes in force. A delta may begin before the table's index, as it carries final values.
     ///
     /// # Errors
     /// [`ApplyError`] when changes are missing in between, or it does not fit; the table stays as it was.
-    pub fn apply_delta(&mut self, delta: &TableDelta) -> Result<Change, ApplyError> {
+    pub fn apply_delta(&mut self, delta: &TableDelta) -> Result<ApplyOutcome, ApplyError> {
         self.check_group(delta.group)?;
         if self.is_stale(delta.index) {
-            return Ok(Change::Stale);
+            return Ok(ApplyOutcome::Stale);
         }
         if delta.previous > self.index {
             return Err(ApplyError::Gap {
@@ -220,7 +220,7 @@
         }
         self.services = services;
         self.index = delta.index;
-        Ok(Change::Applied)
+        Ok(ApplyOutcome::Applied)
     }
 
     /// Group that is followed.
--- a/crates/traffic/tests/admission.rs
+++ b/crates/traffic/tests/admission.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use grebepin_schema::ServerName;
-use grebepin_traffic::admission::SHORTEST_RETRY_AFTER;
+use grebepin_traffic::admission::MIN_RETRY_AFTER;
 use grebepin_traffic::ramp::RAMP_TIME;
 use grebepin_traffic::{
-    Admission, AdmissionConfig, AdmissionEvent, AdmissionRefusal, Ejection, EjectionConfig, Offer,
-    Ramp, RetryBudget, Ticket, Verdict,
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionEvent, AdmissionRefusal, Ejection,
+    EjectionConfig, Ramp, RetryBudget, Ticket, Verdict,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -29,7 +29,7 @@
 
 fn wait_at(admission: &mut Admission, now: Duration, priority: u32, deadline: u64) -> Ticket {
     match admission.offer(now, priority, ms(deadline)) {
-        Offer::Waiting {
+        AdmissionDecision::Waiting {
             ticket,
             displaced: None,
         } => ticket,
@@ -40,7 +40,10 @@
 #[test]
 fn waiting_requests_run_by_priority_then_deadline() {
     let mut admission = admission(1, 10);
-    assert_eq!(admission.offer(ZERO, 5, ms(900)), Offer::Admitted);
+    assert_eq!(
+        admission.offer(ZERO, 5, ms(900)),
+        AdmissionDecision::Admitted
+    );
     let requests = [(1, 500), (0, 900), (1, 400), (0, 800), (9, 100)];
     let tickets: Vec<Ticket> = requests
         .iter()
@@ -77,14 +80,14 @@
         admission.offer(ZERO, 0, ms(900));
         let last = waiting.map(|priority| wait(&mut admission, priority, 500))[1];
         match admission.offer(ZERO, newcomer, ms(500)) {
-            Offer::Waiting {
+            AdmissionDecision::Waiting {
                 displaced: Some((ticket, AdmissionRefusal::QueueFull { .. })),
                 ..
             } => {
                 assert!(gets_in && ticket == last, "{waiting:?} {newcomer}");
             }
-            Offer::Refused(AdmissionRefusal::QueueFull { retry_after }) => {
-                assert!(!gets_in && retry_after >= SHORTEST_RETRY_AFTER);
+            AdmissionDecision::Refused(AdmissionRefusal::QueueFull { retry_after }) => {
+                assert!(!gets_in && retry_after >= MIN_RETRY_AFTER);
             }
             other => panic!("{other:?}"),
         }
@@ -101,14 +104,14 @@
     for _ in 0..5 {
         assert!(matches!(
             admission.offer(ms(100), 0, ms(9_000)),
-            Offer::Waiting { .. }
+            AdmissionDecision::Waiting { .. }
         ));
     }
     // Six requests of 100 ms are ahead of it.
-    let refused = |offer: &Offer| {
+    let refused = |offer: &AdmissionDecision| {
         matches!(
             offer,
-            Offer::Refused(AdmissionRefusal::DeadlineTooNear { .. })
+            AdmissionDecision::Refused(AdmissionRefusal::DeadlineTooNear { .. })
         )
     };
     assert!(refused(&admission.offer(ms(100), 1, ms(600))));
@@ -117,7 +120,7 @@
     let mut urgent = admission.clone();
     assert!(matches!(
         urgent.offer(ms(100), 0, ms(300)),
-        Offer::Waiting { .. }
+        AdmissionDecision::Waiting { .. }
     ));
     // Those whose time ran out meanwhile are refused, not run.
     let events = admission.tick(ms(9_500));
@@ -158,7 +161,10 @@
     let mut admission = admission(1, 10);
     admission.offer(ZERO, 0, ms(100_000));
     admission.finish(ms(50_000), ms(50_000));
-    assert_eq!(admission.offer(ms(50_000), 0, ms(50_010)), Offer::Admitted);
+    assert_eq!(
+        admission.offer(ms(50_000), 0, ms(50_010)),
+        AdmissionDecision::Admitted
+    );
 }
 
 #[test]
@@ -170,7 +176,7 @@
         admission.finish(ms(100), ms(100));
         admission.offer(ms(100), 0, ms(10_000));
         let offer = admission.offer(ms(100), 0, ms(100 + left));
-        assert_eq!(offer == Offer::Admitted, sent, "{left} ms left");
+        assert_eq!(offer == AdmissionDecision::Admitted, sent, "{left} ms left");
     }
 }
 
@@ -220,10 +226,10 @@
         let mut budget = RetryBudget::new(percent);
         let mut taken = 0;
         for _ in 0..first_attempts {
-            budget.first_attempt();
-            taken += u32::from(budget.take());
+            budget.record_first_attempt();
+            taken += u32::from(budget.try_take());
         }
-        while budget.take() {
+        while budget.try_take() {
             taken += 1;
         }
         assert_eq!(taken, expected, "{percent} percent");
@@ -244,7 +250,7 @@
         let mut ejection = Ejection::new(config);
         for server in &names(pool) {
             for _ in 0..config.failures * 3 {
-                ejection.failed(server, ZERO, pool);
+                ejection.record_failure(server, ZERO, pool);
             }
         }
         assert_eq!(ejection.ejected(), most, "pool of {pool}");
@@ -257,10 +263,10 @@
     let server = &names(2)[0];
     let mut ejection = Ejection::new(config);
     for _ in 1..config.failures {
-        assert!(!ejection.failed(server, ZERO, 2));
+        assert!(!ejection.record_failure(server, ZERO, 2));
     }
     assert_eq!(ejection.verdict(server, ZERO), Verdict::Allow);
-    assert!(ejection.failed(server, ZERO, 2));
+    assert!(ejection.record_failure(server, ZERO, 2));
     let fail_fast = Verdict::FailFast {
         retry_after: config.first,
     };
@@ -271,13 +277,13 @@
         Verdict::FailFast { .. }
     ));
     // A failed probe doubles the pause; a success ends the ejection.
-    ejection.failed(server, config.first, 2);
+    ejection.record_failure(server, config.first, 2);
     let retry_after = config.first * 2;
     assert_eq!(
         ejection.verdict(server, config.first),
         Verdict::FailFast { retry_after }
     );
-    assert!(ejection.succeeded(server));
+    assert!(ejection.record_success(server));
     assert_eq!(ejection.verdict(server, config.first), Verdict::Allow);
 }
 
@@ -350,9 +356,9 @@
         for step in steps {
             match step {
                 Step::Offer { priority, time } => match admission.offer(now, priority, now + ms(time)) {
-                    Offer::Admitted => model.running += 1,
-                    Offer::Refused(_) => {}
-                    Offer::Waiting { ticket, displaced } => {
+                    AdmissionDecision::Admitted => model.running += 1,
+                    AdmissionDecision::Refused(_) => {}
+                    AdmissionDecision::Waiting { ticket, displaced } => {
                         model.waiting.insert(ticket, priority);
                         if let Some((ticket, refusal)) = displaced {
                             model.apply(vec![AdmissionEvent::Refused(ticket, refusal)]);
--- a/crates/traffic/tests/flow.rs
+++ b/crates/traffic/tests/flow.rs
@@ -6,7 +6,7 @@
 
 use grebepin_schema::{CancelAnswer, Epoch, Outcome, Refusal, RejectKind, RequestState};
 use grebepin_traffic::{
-    AdmissionRefusal, Finding, FlowAction, FlowInput, LossReason, RequestFlow, RequestSpec,
+    AdmissionRefusal, FlowAction, FlowInput, LossReason, OwnerLookup, RequestFlow, RequestSpec,
 };
 use support::{by_attempt, spec, target, DEADLINE, KINDS, NOW};
 
@@ -58,7 +58,7 @@
             }
             FlowAction::Lookup => {
                 let epoch = if script.moves { 7 + u64::from(sent) } else { 7 };
-                FlowInput::Found(Finding::Owner(target(epoch)))
+                FlowInput::LookedUp(OwnerLookup::Owner(target(epoch)))
             }
             FlowAction::Admit(_) => FlowInput::Admitted,
             FlowAction::TakeRetry => FlowInput::Retry(script.retry_allowed),
@@ -180,7 +180,7 @@
     let losses = [
         LossReason::TimedOut,
         LossReason::Broken,
-        LossReason::Crossed,
+        LossReason::Mismatched,
         LossReason::Superseded,
         LossReason::Invalid,
     ];
@@ -278,7 +278,7 @@
     for (refusal, kind) in table {
         for (repeatable, attempt) in KINDS {
             let (mut flow, _) = RequestFlow::start(spec(repeatable, attempt), NOW);
-            flow.step(NOW, FlowInput::Found(Finding::Owner(target(7))));
+            flow.step(NOW, FlowInput::LookedUp(OwnerLookup::Owner(target(7))));
             let action = flow.step(NOW, FlowInput::NotAdmitted(refusal));
             let FlowAction::Finish(answer) = action else {
                 panic!("{action:?}");
@@ -295,7 +295,7 @@
 #[test]
 fn an_input_that_answers_nothing_claims_nothing() {
     let (mut flow, _) = RequestFlow::start(spec(false, 1), NOW);
-    flow.step(NOW, FlowInput::Found(Finding::Owner(target(7))));
+    flow.step(NOW, FlowInput::LookedUp(OwnerLookup::Owner(target(7))));
     flow.step(NOW, FlowInput::Admitted);
     let FlowAction::Finish(answer) = flow.step(NOW, FlowInput::Woken) else {
         panic!("ends");
--- a/crates/traffic/tests/support/mod.rs
+++ b/crates/traffic/tests/support/mod.rs
@@ -26,7 +26,7 @@
         repeatable,
         attempt,
         deadline: DEADLINE,
-        sends: 3,
+        max_sends: 3,
     }
 }
 
--- a/crates/traffic/tests/table.rs
+++ b/crates/traffic/tests/table.rs
@@ -4,7 +4,7 @@
     Bundle, Epoch, GroupId, LogIndex, OwnerChange, ServerStanding, ServiceTable, ShardId,
     ShardOwner, StandingChange, Table, TableDelta, TableSnapshot,
 };
-use grebepin_traffic::{ApplyError, Change, Guards, RoutingTable};
+use grebepin_traffic::{ApplyError, ApplyOutcome, Guards, RoutingTable};
 
 const GROUP: GroupId = GroupId(1);
 const SHARDS: u32 = 1200;
@@ -71,7 +71,7 @@
     let mut table = RoutingTable::new(GROUP, Guards::all());
     assert_eq!(
         table.apply_snapshot(&snapshot(index, 3)),
-        Ok(Change::Applied)
+        Ok(ApplyOutcome::Applied)
     );
     table
 }
@@ -82,9 +82,9 @@
         let mut table = table_at(10);
         let change = table.apply_snapshot(&snapshot(index, version));
         let expected = if applied {
-            Change::Applied
+            ApplyOutcome::Applied
         } else {
-            Change::Stale
+            ApplyOutcome::Stale
         };
         assert_eq!(change, Ok(expected), "index {index}");
         assert_eq!(table.index(), LogIndex(index.max(10)));
@@ -99,10 +99,10 @@
         previous: LogIndex(12),
     };
     let table = [
-        (delta(10, 12, 7, 1), Ok(Change::Applied)),
-        (delta(4, 12, 7, 1), Ok(Change::Applied)),
-        (delta(4, 10, 7, 1), Ok(Change::Stale)),
-        (delta(4, 6, 7, 1), Ok(Change::Stale)),
+        (delta(10, 12, 7, 1), Ok(ApplyOutcome::Applied)),
+        (delta(4, 12, 7, 1), Ok(ApplyOutcome::Applied)),
+        (delta(4, 10, 7, 1), Ok(ApplyOutcome::Stale)),
+        (delta(4, 6, 7, 1), Ok(ApplyOutcome::Stale)),
         (delta(12, 13, 7, 1), Err(gap)),
         (
             delta(10, 12, SHARDS, 1),
@@ -120,7 +120,7 @@
     for (delta, expected) in table {
         let mut table = table_at(10);
         assert_eq!(table.apply_delta(&delta), expected);
-        let applied = expected == Ok(Change::Applied);
+        let applied = expected == Ok(ApplyOutcome::Applied);
         assert_eq!(table.index(), LogIndex(if applied { 12 } else { 10 }));
         let route = table.service("carne-ledger").expect("service");
         let seventh = route.owner_of_shard(ShardId(7));
@@ -171,7 +171,10 @@
     };
     let mut table = table_at(10);
     assert!(table.apply_delta(&change("server-9")).is_err());
-    assert_eq!(table.apply_delta(&change("server-0")), Ok(Change::Applied));
+    assert_eq!(
+        table.apply_delta(&change("server-0")),
+        Ok(ApplyOutcome::Applied)
+    );
     let route = table.service("carne-ledger").expect("service");
     let (_, standing) = route.owner("some key").server.expect("owner");
     assert_eq!(standing, ServerStanding::Draining);
@@ -220,6 +223,9 @@
     let guards = Guards::without(grebepin_traffic::Guard::MonotonicTable);
     let mut table = RoutingTable::new(GROUP, guards);
     table.apply_snapshot(&snapshot(10, 3)).expect("applies");
-    assert_eq!(table.apply_snapshot(&snapshot(9, 2)), Ok(Change::Applied));
+    assert_eq!(
+        table.apply_snapshot(&snapshot(9, 2)),
+        Ok(ApplyOutcome::Applied)
+    );
     assert_eq!((table.index(), table.bundle_version()), (LogIndex(9), 2));
 }
--- a/crates/traffic/tests/waits.rs
+++ b/crates/traffic/tests/waits.rs
@@ -5,28 +5,28 @@
 use std::time::Duration;
 
 use grebepin_schema::{LogIndex, Outcome, Refusal, RejectKind};
-use grebepin_traffic::flow::{FIRST_PAUSE, RELEASE_PAUSE};
-use grebepin_traffic::{Finding, FlowAction, FlowInput, LossReason, RequestFlow, RequestSpec};
+use grebepin_traffic::flow::{FIRST_RETRY_DELAY, RELEASE_RETRY_DELAY};
+use grebepin_traffic::{FlowAction, FlowInput, LossReason, OwnerLookup, RequestFlow, RequestSpec};
 use support::{by_attempt, spec, target, DEADLINE, KINDS, NOW};
 
 #[test]
 fn without_an_owner_the_wait_is_bounded_and_ends_early_at_a_change() {
     let no_owner = || {
-        FlowInput::Found(Finding::NoOwner {
+        FlowInput::LookedUp(OwnerLookup::NoOwner {
             table_index: LogIndex(5),
         })
     };
     let (mut flow, _) = RequestFlow::start(spec(false, 1), NOW);
-    let FlowAction::Wait { beyond, until } = flow.step(NOW, no_owner()) else {
+    let FlowAction::Wait { newer_than, until } = flow.step(NOW, no_owner()) else {
         panic!("waits for the table");
     };
-    assert_eq!(beyond, LogIndex(5));
-    assert_eq!(until, NOW + grebepin_traffic::flow::PATIENCE);
+    assert_eq!(newer_than, LogIndex(5));
+    assert_eq!(until, NOW + grebepin_traffic::flow::MAX_WAIT);
     // Woken by a change that brings no owner: the end of the wait stays where it was.
     let later = NOW + Duration::from_millis(50);
     assert_eq!(flow.step(later, FlowInput::Woken), FlowAction::Lookup);
     let again = flow.step(later, no_owner());
-    assert_eq!(again, FlowAction::Wait { beyond, until });
+    assert_eq!(again, FlowAction::Wait { newer_than, until });
     assert_eq!(flow.step(until, FlowInput::Woken), FlowAction::Lookup);
     let FlowAction::Finish(answer) = flow.step(until, no_owner()) else {
         panic!("gives up at the end of the wait");
@@ -46,30 +46,33 @@
             ..spec(false, 1)
         };
         let (mut flow, _) = RequestFlow::start(spec, NOW);
-        let no_owner = FlowInput::Found(Finding::NoOwner {
+        let no_owner = FlowInput::LookedUp(OwnerLookup::NoOwner {
             table_index: LogIndex(5),
         });
         let until = NOW + Duration::from_millis(patience);
-        let beyond = LogIndex(5);
-        assert_eq!(flow.step(NOW, no_owner), FlowAction::Wait { beyond, until });
+        let newer_than = LogIndex(5);
+        assert_eq!(
+            flow.step(NOW, no_owner),
+            FlowAction::Wait { newer_than, until }
+        );
     }
 }
 
 #[test]
 fn only_the_same_ownership_costs_a_retry() {
     for (refusal, pause) in [
-        (Refusal::WrongEpoch, FIRST_PAUSE),
-        (Refusal::NoLease, FIRST_PAUSE),
-        (Refusal::Releasing, RELEASE_PAUSE),
-        (Refusal::Shed, FIRST_PAUSE),
+        (Refusal::WrongEpoch, FIRST_RETRY_DELAY),
+        (Refusal::NoLease, FIRST_RETRY_DELAY),
+        (Refusal::Releasing, RELEASE_RETRY_DELAY),
+        (Refusal::Shed, FIRST_RETRY_DELAY),
     ] {
         let (mut flow, _) = RequestFlow::start(spec(false, 1), NOW);
-        let found = |epoch| FlowInput::Found(Finding::Owner(target(epoch)));
+        let found = |epoch| FlowInput::LookedUp(OwnerLookup::Owner(target(epoch)));
         flow.step(NOW, found(7));
         flow.step(NOW, FlowInput::Admitted);
         let until = NOW + pause;
         let wait = FlowAction::Wait {
-            beyond: LogIndex(7),
+            newer_than: LogIndex(7),
             until,
         };
         assert_eq!(flow.step(NOW, FlowInput::Refused(refusal)), wait);
@@ -100,7 +103,7 @@
 
 #[test]
 fn an_owner_that_is_gone_is_not_asked_again_until_the_shard_has_moved() {
-    let found = |epoch| FlowInput::Found(Finding::Owner(target(epoch)));
+    let found = |epoch| FlowInput::LookedUp(OwnerLookup::Owner(target(epoch)));
     let (mut flow, _) = RequestFlow::start(spec(false, 1), NOW);
     flow.step(NOW, found(7));
     flow.step(NOW, FlowInput::Admitted);
@@ -109,8 +112,11 @@
     };
     // The table changed, but not for this shard; then it did.
     assert_eq!(flow.step(NOW, FlowInput::Woken), FlowAction::Lookup);
-    let beyond = LogIndex(7);
-    assert_eq!(flow.step(NOW, found(7)), FlowAction::Wait { beyond, until });
+    let newer_than = LogIndex(7);
+    assert_eq!(
+        flow.step(NOW, found(7)),
+        FlowAction::Wait { newer_than, until }
+    );
     flow.step(NOW, FlowInput::Woken);
     let mut moved = flow.clone();
     assert!(matches!(moved.step(NOW, found(8)), FlowAction::Admit(_)));
@@ -147,7 +153,7 @@
 fn time_for_a_cancellation_is_kept_back_where_it_may_be_needed() {
     for (repeatable, attempt) in KINDS {
         let (mut flow, _) = RequestFlow::start(spec(repeatable, attempt), NOW);
-        flow.step(NOW, FlowInput::Found(Finding::Owner(target(7))));
+        flow.step(NOW, FlowInput::LookedUp(OwnerLookup::Owner(target(7))));
         let FlowAction::Send { until, .. } = flow.step(NOW, FlowInput::Admitted) else {
             panic!("sends");
         };
