--- a/crates/traffic/src/flow.rs
+++ b/crates/traffic/src/flow.rs
@@ -2,8 +2,8 @@
 //!
 //! Invariant: each action but the last is answered by one input.
 
+mod failed_target;
 mod machine;
-mod tried;
 
 use std::time::Duration;
 
--- a/crates/traffic/src/flow/machine.rs
+++ b/crates/traffic/src/flow/machine.rs
@@ -8,7 +8,7 @@
 
 use grebepin_schema::{CancelAnswer, LogIndex, Outcome, Refusal, RejectKind, RequestState};
 
-use super::tried::{Again, Failure, Tried};
+use super::failed_target::{Again, Failure, Tried};
 use super::{FinalAnswer, FlowAction, FlowInput, OwnerLookup, RequestSpec, Target};
 use crate::admission::AdmissionRefusal;
 
