--- a/crates/traffic/src/ejection.rs
+++ b/crates/traffic/src/ejection.rs
@@ -1,47 +1,47 @@
-//! Ejection of servers that fail again and again.
+//! Ejection of repeatedly failing servers.
 //!
-//! Invariant: at most the stated part of a service's servers is ejected at once, so errors or lies
-//! cannot empty a pool. The owner of a key has no stand-in: ejection means that its requests are
-//! refused at once with a time to come back, instead of each waiting for a time-out, until a probe
-//! succeeds. Only what this router saw itself counts.
+//! Invariant: at most the configured fraction of a service's servers is ejected at once, so errors or
+//! false reports cannot empty a pool. A key has exactly one owner, so no other server can take over its
+//! requests: while the owner is ejected they are refused at once with a retry delay, instead of each
+//! waiting for a timeout, until a probe succeeds. Only failures seen by this router count.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use grebepin_schema::ServerName;
 
-/// When servers are ejected.
+/// Thresholds and delays of ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectionConfig {
-    /// Failures without a success in between.
-    pub failures: u32,
-    /// Time until the first probe.
-    pub first: Duration,
-    /// Longest time between two probes; the time doubles at each failed probe.
-    pub longest: Duration,
-    /// Servers, in percent of the service's, that are never ejected at once.
-    pub floor_percent: u32,
+    /// Number of consecutive failures that ejects a server.
+    pub failure_threshold: u32,
+    /// Time from the ejection to the first probe.
+    pub first_pause: Duration,
+    /// Maximum time between two probes; the time doubles after each failed probe.
+    pub max_pause: Duration,
+    /// Percentage of the service's servers that always stays available.
+    pub min_available_percent: u32,
 }
 
 impl Default for EjectionConfig {
     fn default() -> Self {
         Self {
-            failures: 5,
-            first: Duration::from_millis(200),
-            longest: Duration::from_millis(500),
-            floor_percent: 50,
+            failure_threshold: 5,
+            first_pause: Duration::from_millis(200),
+            max_pause: Duration::from_millis(500),
+            min_available_percent: 50,
         }
     }
 }
 
-/// Whether a server may get a request now.
+/// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send.
+    /// The server is not ejected.
     Allow,
-    /// Send: this request finds out whether the server answers again.
+    /// The server is ejected; this request probes whether it answers again.
     Probe,
-    /// Refuse at once.
+    /// The server is ejected; the request is refused without a send.
     FailFast {
         /// Time until the next probe.
         retry_after: Duration,
@@ -60,7 +60,7 @@
     pause: Duration,
 }
 
-/// Failures of one service's servers as one router saw them.
+/// Failure counts and ejections of one service's servers at one router.
 #[derive(Clone, Debug)]
 pub struct Ejection {
     config: EjectionConfig,
@@ -68,7 +68,7 @@
 }
 
 impl Ejection {
-    /// Every server is taken to be well.
+    /// Creates the state with no failures and no ejected server.
     pub fn new(config: EjectionConfig) -> Self {
         Self {
             config,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Whether a request may go to `server`. A [`Verdict::Probe`] puts the next probe off, so one
-    /// request at a time probes.
+    /// Whether a request may be sent to `server`. [`Verdict::Probe`] postpones the next probe, so that
+    /// only one request at a time probes.
     pub fn verdict(&mut self, server: &ServerName, now: Duration) -> Verdict {
         let Some(ejected) = self
             .servers
@@ -95,7 +95,7 @@
         Verdict::Probe
     }
 
-    /// The server answered or refused in a typed way; true when this ends an ejection.
+    /// Records an answer or a typed refusal; true if this ends an ejection.
     pub fn record_success(&mut self, server: &ServerName) -> bool {
         let Some(health) = self.servers.get_mut(server) else {
             return false;
@@ -105,22 +105,23 @@
         ended
     }
 
-    /// The server gave no whole answer; `pool` counts the service's servers. True when this ejects it.
-    pub fn record_failure(&mut self, server: &ServerName, now: Duration, pool: usize) -> bool {
-        let room = self.ejected() < self.most_ejected(pool);
+    /// Records a request without a complete answer; `pool_size` is the number of the service's servers.
+    /// True if this ejects the server.
+    pub fn record_failure(&mut self, server: &ServerName, now: Duration, pool_size: usize) -> bool {
+        let may_eject = self.ejected_count() < self.max_ejected(pool_size);
         let config = self.config;
         let health = self.servers.entry(server.clone()).or_default();
         health.failures = health.failures.saturating_add(1);
         match &mut health.ejected {
             Some(ejected) => {
-                ejected.pause = (ejected.pause * 2).min(config.longest);
+                ejected.pause = (ejected.pause * 2).min(config.max_pause);
                 ejected.until = now + ejected.pause;
                 false
             }
-            None if health.failures >= config.failures && room => {
+            None if health.failures >= config.failure_threshold && may_eject => {
                 health.ejected = Some(Ejected {
-                    until: now + config.first,
-                    pause: config.first,
+                    until: now + config.first_pause,
+                    pause: config.first_pause,
                 });
                 true
             }
@@ -128,21 +129,21 @@
         }
     }
 
-    /// Forgets servers that are no longer part of the service.
+    /// Drops the state of servers that are no longer part of the service.
     pub fn retain(&mut self, known: impl Fn(&ServerName) -> bool) {
         self.servers.retain(|server, _| known(server));
     }
 
-    /// Count of ejected servers.
-    pub fn ejected(&self) -> usize {
+    /// Number of ejected servers.
+    pub fn ejected_count(&self) -> usize {
         self.servers
             .values()
             .filter(|health| health.ejected.is_some())
             .count()
     }
 
-    fn most_ejected(&self, pool: usize) -> usize {
-        let floor = self.config.floor_percent.min(100) as usize;
-        pool * (100 - floor) / 100
+    fn max_ejected(&self, pool_size: usize) -> usize {
+        let min_available = self.config.min_available_percent.min(100) as usize;
+        pool_size * (100 - min_available) / 100
     }
 }
--- a/crates/traffic/src/flow.rs
+++ b/crates/traffic/src/flow.rs
@@ -1,6 +1,6 @@
-//! One request at one router: what the state machine takes in and what it wants done.
+//! Inputs and actions of the state machine that handles one request at one router.
 //!
-//! Invariant: each action but the last is answered by one input.
+//! Invariant: every action except [`FlowAction::Finish`] is followed by exactly one input.
 
 mod failed_target;
 mod machine;
@@ -14,134 +14,134 @@
 use crate::admission::AdmissionRefusal;
 
 pub use machine::{
-    RequestFlow, CANCEL_TIME, DRAIN_GRACE, FIRST_RETRY_DELAY, MAX_WAIT, RELEASE_RETRY_DELAY,
+    RequestFlow, CANCEL_TIMEOUT, DRAIN_GRACE, FIRST_RETRY_DELAY, MAX_WAIT, RELEASE_RETRY_DELAY,
 };
 
-/// What a flow must know of its request.
+/// Properties of a request that determine how it may be sent and retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSpec {
-    /// Whether running it twice does no harm.
+    /// Whether the request may be executed more than once.
     pub repeatable: bool,
-    /// The caller's attempt: 2 and more when an earlier attempt may have run.
+    /// The caller's attempt number, from 1; above 1 an earlier attempt may have run.
     pub attempt: u32,
-    /// When the caller must have its answer.
+    /// Time by which the caller needs its answer, since the start of the process.
     pub deadline: Duration,
-    /// Most times that this router sends it.
+    /// Maximum number of times this router sends the request.
     pub max_sends: u32,
 }
 
-/// Where a request goes.
+/// Owner of a shard to which a request is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Shard of the request's key.
     pub shard: ShardId,
     /// Epoch of the ownership.
     pub epoch: Epoch,
-    /// Owner.
+    /// Name of the owning server.
     pub server: ServerName,
-    /// Where the owner listens.
+    /// Address on which the owner accepts requests.
     pub address: SocketAddress,
-    /// Index of the table that says so.
+    /// Log index of the routing table that names this owner.
     pub table_index: LogIndex,
 }
 
-/// What the table says of a request's shard.
+/// Result of looking up a request's shard in the routing table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerLookup {
-    /// There is no table yet.
+    /// No routing table has been received yet.
     NoTable,
-    /// No server may get the request now.
+    /// No server may currently receive the request.
     NoOwner {
-        /// Index of the table that says so.
+        /// Log index of the routing table used for the lookup.
         table_index: LogIndex,
     },
     /// This server owns the shard.
     Owner(Target),
 }
 
-/// Why there is no whole answer to a request of which bytes may have reached the owner.
+/// Why a request of which bytes may have reached the owner got no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// The time for it ended.
+    /// The send timed out.
     TimedOut,
     /// The connection failed.
     Broken,
-    /// The answer belongs to another request, or names none.
+    /// The answer carries another request identifier, or none.
     Mismatched,
-    /// Another server owns the shard by now, and the answer did not come soon after that.
+    /// The shard moved to another ownership, and no answer arrived shortly afterwards.
     Superseded,
-    /// The answer breaks the protocol or a bound on sizes.
+    /// The answer violates the protocol or a size limit.
     Invalid,
 }
 
-/// What happened, in answer to the last [`FlowAction`].
+/// Result of the last [`FlowAction`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlowInput {
-    /// To [`FlowAction::Lookup`].
+    /// Result of [`FlowAction::Lookup`].
     LookedUp(OwnerLookup),
-    /// To [`FlowAction::Admit`]: send it.
+    /// Result of [`FlowAction::Admit`]: the request has a slot.
     Admitted,
-    /// To [`FlowAction::Admit`]: not now.
+    /// Result of [`FlowAction::Admit`]: the request is refused.
     NotAdmitted(AdmissionRefusal),
-    /// To [`FlowAction::Send`]: no byte of it left.
+    /// Result of [`FlowAction::Send`] or [`FlowAction::Admit`]: no byte of the request was sent.
     NotSent,
-    /// To [`FlowAction::Send`]: the owner refused it in a typed way.
+    /// Result of [`FlowAction::Send`]: the owner refused the request with a typed refusal.
     Refused(Refusal),
-    /// To [`FlowAction::Send`]: the whole answer to this very request.
+    /// Result of [`FlowAction::Send`]: the complete answer to this request was received.
     Answered,
-    /// To [`FlowAction::Send`]: no whole answer.
+    /// Result of [`FlowAction::Send`]: no complete answer was received.
     Lost(LossReason),
-    /// To [`FlowAction::Cancel`]: the owner's answer; `None` without one.
+    /// Result of [`FlowAction::Cancel`]: the owner's answer; `None` if none was received.
     Cancelled(Option<CancelAnswer>),
-    /// To [`FlowAction::Wait`]: the table changed or the time came.
+    /// Result of [`FlowAction::Wait`]: the table changed or the wait timed out.
     Woken,
-    /// To [`FlowAction::Wait`]: too many requests wait already.
+    /// Result of [`FlowAction::Wait`]: too many requests are waiting already.
     CannotWait,
-    /// To [`FlowAction::TakeRetry`]: whether the service's budget allows a retry.
+    /// Result of [`FlowAction::TakeRetry`]: whether the service's retry budget allows a retry.
     Retry(bool),
 }
 
-/// What to do next.
+/// Action that the caller of the state machine performs next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FlowAction {
-    /// Look the owner up in the table in force.
+    /// Look up the owner of the request's shard in the current table.
     Lookup,
-    /// Ask the server's admission.
+    /// Request a slot from the server's admission control.
     Admit(Target),
-    /// Send the request; give up at `until`.
+    /// Send the request.
     Send {
-        /// Where to.
+        /// Owner to send it to.
         target: Target,
-        /// When to give up.
+        /// Time at which the send times out.
         until: Duration,
     },
-    /// Ask the owner to cancel the request, once; give up at `until`.
+    /// Ask the owner once to cancel the request.
     Cancel {
-        /// Where the request went.
+        /// Owner to which the request was sent.
         target: Target,
-        /// When to give up.
+        /// Time at which the cancellation times out.
         until: Duration,
     },
     /// Wait until the table's index is above `newer_than`, at most until `until`.
     Wait {
-        /// Index that was not good enough.
+        /// Index of the table that named no usable owner.
         newer_than: LogIndex,
-        /// When to wake up in any case.
+        /// Time at which the wait ends without a new table.
         until: Duration,
     },
-    /// Take a retry out of the service's budget.
+    /// Take one retry from the service's retry budget.
     TakeRetry,
-    /// Answer the caller.
+    /// Answer the caller; the flow is complete.
     Finish(FinalAnswer),
 }
 
-/// The answer to the caller.
+/// Result of a request as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinalAnswer {
-    /// What became of the request.
+    /// Whether the request was answered, was not run, or may have run.
     pub outcome: Outcome,
-    /// Why the router answers by itself; `None` when the owner's answer is passed on.
+    /// Reason for the router's own answer; `None` when the owner's answer is forwarded.
     pub reject: Option<RejectKind>,
-    /// When to come back; `None` when the owner's answer is passed on.
+    /// Time after which the caller may retry; `None` when the owner's answer is forwarded.
     pub retry_after: Option<Duration>,
 }
--- a/crates/traffic/src/flow/failed_target.rs
+++ b/crates/traffic/src/flow/failed_target.rs
@@ -1,6 +1,6 @@
-//! What was tried already for a request, and what it is told if nothing better comes.
+//! The ownership at which a request was last not run, and the failure that the caller gets by default.
 //!
-//! Invariant: an ownership is held to have refused a request only when it did not run it.
+//! Invariant: an ownership is recorded here only when it provably did not run the request.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 
 use super::Target;
 
-const RETRY_AFTER_OWNER: Duration = Duration::from_millis(500);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What the caller is told if nothing better comes.
+/// Failure returned to the caller unless a later send succeeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Failure {
     pub(super) kind: RejectKind,
@@ -18,34 +18,34 @@
 }
 
 impl Failure {
-    pub(super) fn of(kind: RejectKind) -> Self {
-        Self::after(kind, RETRY_AFTER_OWNER)
+    pub(super) fn new(kind: RejectKind) -> Self {
+        Self::with_retry_after(kind, DEFAULT_RETRY_AFTER)
     }
 
-    pub(super) fn after(kind: RejectKind, retry_after: Duration) -> Self {
+    pub(super) fn with_retry_after(kind: RejectKind, retry_after: Duration) -> Self {
         Self { kind, retry_after }
     }
 }
 
 /// An ownership at which the request was not run.
 #[derive(Clone, Debug)]
-pub(super) struct Tried {
+pub(super) struct FailedTarget {
     pub(super) target: Target,
     pub(super) failure: Failure,
-    /// When it may be sent to the same owner and epoch again; `None` for never.
-    pub(super) again_at: Option<Duration>,
+    /// Time from which the request may be sent to the same owner and epoch again; `None` for never.
+    pub(super) retry_at: Option<Duration>,
 }
 
-/// Whether an owner that did not run a request may be asked again at the same epoch.
+/// Whether a request may be resent to the owner that did not run it, at the same epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Again {
+pub(super) enum SameOwnerRetry {
     Never,
     After(Duration),
 }
 
-impl Tried {
-    /// Whether it is the ownership of `target`.
-    pub(super) fn is(&self, target: &Target) -> bool {
+impl FailedTarget {
+    /// Whether `target` is the same owner at the same epoch.
+    pub(super) fn is_ownership_of(&self, target: &Target) -> bool {
         self.target.server == target.server && self.target.epoch == target.epoch
     }
 }
--- a/crates/traffic/src/flow/machine.rs
+++ b/crates/traffic/src/flow/machine.rs
@@ -1,44 +1,46 @@
 //! The state machine of one request at one router.
 //!
-//! Invariants: `not-run` is said only with proof that no attempt of the request ran; a request that
-//! may not be repeated is sent again only after such proof; once nothing more is tried, the final
-//! answer is given at once.
+//! Invariants: `not-run` is reported only with proof that no attempt of the request ran; a request that
+//! is not repeatable is resent only after such proof; the final answer is given as soon as no further
+//! send is possible.
 
 use std::time::Duration;
 
 use grebepin_schema::{CancelAnswer, LogIndex, Outcome, Refusal, RejectKind, RequestState};
 
-use super::failed_target::{Again, Failure, Tried};
+use super::failed_target::{FailedTarget, Failure, SameOwnerRetry};
 use super::{FinalAnswer, FlowAction, FlowInput, OwnerLookup, RequestSpec, Target};
 use crate::admission::AdmissionRefusal;
 
-/// Longest time one request waits, in all, for the table to change or an owner to come back. It never
-/// waits for longer than a part of its time left, so that enough is left to run it, or to be told early.
+/// Maximum total time that one request waits for a table change or for the same owner to accept it. The
+/// wait is also limited to a fraction of the time left before the deadline, which leaves time to run the
+/// request or to report the failure early.
 pub const MAX_WAIT: Duration = Duration::from_millis(1500);
 
-/// Part of the time left, one in this many, for which a request waits at most.
-const PATIENCE_PART: u32 = 2;
+/// A request waits for at most the time left before its deadline divided by this.
+const MAX_WAIT_DIVISOR: u32 = 2;
 
-/// Pause before an owner is asked again at the same epoch: the time in which a new owner gets its grant.
-/// A second pause lasts to the end of the patience.
+/// Delay before a request is resent to the same owner at the same epoch: the time in which a new owner
+/// receives its grant. A second delay lasts to the end of the total wait.
 pub const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The same for an owner that releases the shard or fetches its record: most often it gives it away.
+/// Delay before a resend to an owner that is releasing the shard or fetching its record. It is longer,
+/// because such a shard usually moves to another owner.
 pub const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest time for the cancellation of a request.
-pub const CANCEL_TIME: Duration = Duration::from_millis(100);
+/// Timeout of the cancellation of a request.
+pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which an owner that is leaving still gets requests for the shards it has not released.
+/// Time for which a draining owner still receives requests for the shards that it has not released.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(1);
 
-/// Least time left with which a request is still sent.
-const LEAST_TIME_LEFT: Duration = Duration::from_millis(1);
+/// A request with less time left before its deadline is not sent.
+const MIN_TIME_TO_SEND: Duration = Duration::from_millis(1);
 
-/// Part of the time left, one in this many, that is kept back for a cancellation.
-const CANCEL_PART: u32 = 10;
+/// The time left before the deadline divided by this is reserved for a cancellation.
+const CANCEL_RESERVE_DIVISOR: u32 = 10;
 
-const LONGEST_CANCEL_RESERVE: Duration = Duration::from_millis(50);
+const MAX_CANCEL_RESERVE: Duration = Duration::from_millis(50);
 const RETRY_AFTER_SHED: Duration = Duration::from_millis(100);
 const RETRY_AFTER_BUDGET: Duration = Duration::from_secs(1);
 
@@ -48,46 +50,46 @@
     Admitting(Target),
     Sending(Target),
     Cancelling(Target),
-    /// With the owner that is asked again, if it was looked up already.
+    /// Holds the owner to resend to, if it has been looked up already.
     AskingRetry(Option<Target>),
     Waiting(Failure),
     Finished(FinalAnswer),
 }
 
-/// One request on its way; feed it [`FlowInput`]s, do the [`FlowAction`]s.
+/// State machine of one request: takes [`FlowInput`]s and returns [`FlowAction`]s.
 #[derive(Clone, Debug)]
 pub struct RequestFlow {
     spec: RequestSpec,
     state: State,
     sent: u32,
-    doubt: bool,
-    tried: Option<Tried>,
-    patience_end: Option<Duration>,
-    paused: bool,
+    may_have_run: bool,
+    failed_target: Option<FailedTarget>,
+    wait_end: Option<Duration>,
+    delayed_once: bool,
 }
 
 impl RequestFlow {
-    /// A request that arrived at `now`, with the first thing to do.
+    /// Starts the flow of a request that arrived at `now`; returns it with the first action.
     pub fn start(spec: RequestSpec, now: Duration) -> (Self, FlowAction) {
         let mut flow = Self {
             spec,
             state: State::LookingUp,
             sent: 0,
-            doubt: spec.attempt > 1,
-            tried: None,
-            patience_end: None,
-            paused: false,
+            may_have_run: spec.attempt > 1,
+            failed_target: None,
+            wait_end: None,
+            delayed_once: false,
         };
         let action = flow.look_up(now);
         (flow, action)
     }
 
-    /// Takes what happened; returns what to do next. An input that does not answer the last action
-    /// ends the flow without a claim.
+    /// Applies the result of the last action and returns the next one. An input that does not belong to
+    /// the last action ends the flow; the outcome is then unknown if the request was sent.
     pub fn step(&mut self, now: Duration, input: FlowInput) -> FlowAction {
         let state = std::mem::replace(&mut self.state, State::LookingUp);
         match (state, input) {
-            (State::LookingUp, FlowInput::LookedUp(finding)) => self.found(now, finding),
+            (State::LookingUp, FlowInput::LookedUp(lookup)) => self.found(now, lookup),
             (State::Admitting(target), FlowInput::Admitted) => self.send(now, target),
             (State::Admitting(_), FlowInput::NotAdmitted(refusal)) => self.not_admitted(refusal),
             (State::Admitting(target), FlowInput::NotSent) => self.not_sent(now, target),
@@ -105,14 +107,14 @@
         }
     }
 
-    /// Times the request was sent.
+    /// Number of sends, including those that failed before the first byte.
     pub fn times_sent(&self) -> u32 {
         self.sent
     }
 
     fn look_up(&mut self, now: Duration) -> FlowAction {
-        if self.time_left(now) < LEAST_TIME_LEFT {
-            return self.finish(Failure::after(
+        if self.time_left(now) < MIN_TIME_TO_SEND {
+            return self.finish(Failure::with_retry_after(
                 RejectKind::DeadlineTooNear,
                 RETRY_AFTER_SHED,
             ));
@@ -121,34 +123,39 @@
         FlowAction::Lookup
     }
 
-    fn found(&mut self, now: Duration, finding: OwnerLookup) -> FlowAction {
-        match finding {
-            OwnerLookup::NoTable => self.finish(Failure::of(RejectKind::NoTable)),
+    fn found(&mut self, now: Duration, lookup: OwnerLookup) -> FlowAction {
+        match lookup {
+            OwnerLookup::NoTable => self.finish(Failure::new(RejectKind::NoTable)),
             OwnerLookup::NoOwner { table_index } => {
-                let until = self.patience_end(now);
-                self.wait(now, table_index, until, Failure::of(RejectKind::NoOwner))
+                let until = self.wait_end(now);
+                self.wait(now, table_index, until, Failure::new(RejectKind::NoOwner))
             }
             OwnerLookup::Owner(target) => self.found_owner(now, target),
         }
     }
 
-    /// Another owner or epoch gets it at once, which costs nothing of the retry budget, since no
-    /// server gets more requests by it. The same one gets it again only where that can help.
+    /// Sends the request to a different owner or epoch at once. That takes nothing from the retry budget,
+    /// because no server receives more requests through it. The same owner at the same epoch receives the
+    /// request again only where the failure may be temporary.
     fn found_owner(&mut self, now: Duration, target: Target) -> FlowAction {
-        let Some(tried) = self.tried.take().filter(|tried| tried.is(&target)) else {
-            self.paused = false;
+        let Some(failed) = self
+            .failed_target
+            .take()
+            .filter(|failed| failed.is_ownership_of(&target))
+        else {
+            self.delayed_once = false;
             return self.admit(target);
         };
-        match tried.again_at {
+        match failed.retry_at {
             Some(at) if now >= at => {
                 self.state = State::AskingRetry(Some(target));
                 FlowAction::TakeRetry
             }
-            again_at => {
-                let until = again_at.unwrap_or(self.patience_end(now));
+            retry_at => {
+                let until = retry_at.unwrap_or(self.wait_end(now));
                 let newer_than = target.table_index;
-                let failure = tried.failure;
-                self.tried = Some(tried);
+                let failure = failed.failure;
+                self.failed_target = Some(failed);
                 self.wait(now, newer_than, until, failure)
             }
         }
@@ -167,12 +174,12 @@
             }
             AdmissionRefusal::Ejected { retry_after } => (RejectKind::OwnerLost, retry_after),
         };
-        self.finish(Failure::after(kind, retry_after))
+        self.finish(Failure::with_retry_after(kind, retry_after))
     }
 
     fn send(&mut self, now: Duration, target: Target) -> FlowAction {
-        if self.time_left(now) < LEAST_TIME_LEFT {
-            return self.finish(Failure::after(
+        if self.time_left(now) < MIN_TIME_TO_SEND {
+            return self.finish(Failure::with_retry_after(
                 RejectKind::DeadlineTooNear,
                 RETRY_AFTER_SHED,
             ));
@@ -197,106 +204,117 @@
         }
     }
 
-    /// An owner that cannot be reached is gone: when it comes back, it gets its shards at new epochs.
+    /// An unreachable owner is not retried at the same epoch: when it returns, its shards get new epochs.
     fn not_sent(&mut self, now: Duration, target: Target) -> FlowAction {
-        let failure = Failure::of(RejectKind::OwnerLost);
-        self.not_run(now, target, failure, Again::Never)
+        let failure = Failure::new(RejectKind::OwnerLost);
+        self.not_run(now, target, failure, SameOwnerRetry::Never)
     }
 
     fn refused(&mut self, now: Duration, target: Target, refusal: Refusal) -> FlowAction {
-        let failure = Failure::of(RejectKind::OwnerRefused);
+        let failure = Failure::new(RejectKind::OwnerRefused);
         match refusal {
-            Refusal::Draining => self.not_run(now, target, failure, Again::Never),
-            Refusal::WrongEpoch | Refusal::NoLease => {
-                self.not_run(now, target, failure, Again::After(FIRST_RETRY_DELAY))
-            }
-            Refusal::Releasing => {
-                self.not_run(now, target, failure, Again::After(RELEASE_RETRY_DELAY))
-            }
+            Refusal::Draining => self.not_run(now, target, failure, SameOwnerRetry::Never),
+            Refusal::WrongEpoch | Refusal::NoLease => self.not_run(
+                now,
+                target,
+                failure,
+                SameOwnerRetry::After(FIRST_RETRY_DELAY),
+            ),
+            Refusal::Releasing => self.not_run(
+                now,
+                target,
+                failure,
+                SameOwnerRetry::After(RELEASE_RETRY_DELAY),
+            ),
             Refusal::Shed => self.shed(now, target),
-            Refusal::Deadline => self.finish(Failure::after(
+            Refusal::Deadline => self.finish(Failure::with_retry_after(
                 RejectKind::DeadlineTooNear,
                 RETRY_AFTER_SHED,
             )),
             Refusal::Cancelled => {
-                self.doubt &= self.spec.repeatable;
+                self.may_have_run &= self.spec.repeatable;
                 self.finish(failure)
             }
             Refusal::BadRequest => self.finish(failure),
             Refusal::AlreadyRunning | Refusal::RecordIncomplete => {
-                self.doubt = true;
-                self.finish(Failure::of(RejectKind::OutcomeUnknown))
+                self.may_have_run = true;
+                self.finish(Failure::new(RejectKind::OutcomeUnknown))
             }
         }
     }
 
-    /// A server that has too much to do is asked once more.
+    /// Retries once at a server that shed the request because of overload.
     fn shed(&mut self, now: Duration, target: Target) -> FlowAction {
-        let failure = Failure::after(RejectKind::OwnerRefused, RETRY_AFTER_SHED);
-        if self.paused {
+        let failure = Failure::with_retry_after(RejectKind::OwnerRefused, RETRY_AFTER_SHED);
+        if self.delayed_once {
             return self.finish(failure);
         }
-        self.not_run(now, target, failure, Again::After(FIRST_RETRY_DELAY))
+        self.not_run(
+            now,
+            target,
+            failure,
+            SameOwnerRetry::After(FIRST_RETRY_DELAY),
+        )
     }
 
     fn lost(&mut self, now: Duration, target: Target) -> FlowAction {
         if self.spec.repeatable {
-            self.doubt = true;
-            return self.send_again(now, Failure::of(RejectKind::OutcomeUnknown));
+            self.may_have_run = true;
+            return self.send_again(now, Failure::new(RejectKind::OutcomeUnknown));
         }
-        if self.time_left(now) < LEAST_TIME_LEFT {
-            self.doubt = true;
-            return self.finish(Failure::of(RejectKind::OutcomeUnknown));
+        if self.time_left(now) < MIN_TIME_TO_SEND {
+            self.may_have_run = true;
+            return self.finish(Failure::new(RejectKind::OutcomeUnknown));
         }
-        let until = self.spec.deadline.min(now + CANCEL_TIME);
+        let until = self.spec.deadline.min(now + CANCEL_TIMEOUT);
         self.state = State::Cancelling(target.clone());
         FlowAction::Cancel { target, until }
     }
 
-    /// A tombstone at the epoch of the send proves that neither this attempt nor an earlier one ran,
-    /// and that none will: a back end answers `not-run` only when it knows this.
+    /// A tombstone at the epoch of the send proves that neither this attempt nor an earlier one ran, and
+    /// that none will run: a back end answers `not-run` only when it has established this.
     fn cancelled(&mut self, target: &Target, answer: Option<CancelAnswer>) -> FlowAction {
         let proof = answer.is_some_and(|answer| {
             answer.state == RequestState::NotRun && answer.epoch == target.epoch
         });
         if proof {
-            self.doubt = false;
-            return self.finish(Failure::of(RejectKind::OwnerLost));
+            self.may_have_run = false;
+            return self.finish(Failure::new(RejectKind::OwnerLost));
         }
-        self.doubt = true;
-        self.finish(Failure::of(RejectKind::OutcomeUnknown))
+        self.may_have_run = true;
+        self.finish(Failure::new(RejectKind::OutcomeUnknown))
     }
 
-    /// This send is proven not to have run: waits for another owner or epoch, or for the time to ask
-    /// the same one again.
+    /// Handles a send that provably was not run: waits for another owner or epoch, or until the same
+    /// owner may be retried.
     fn not_run(
         &mut self,
         now: Duration,
         target: Target,
         failure: Failure,
-        again: Again,
+        same_owner: SameOwnerRetry,
     ) -> FlowAction {
-        let end = self.patience_end(now);
+        let end = self.wait_end(now);
         if self.sent >= self.spec.max_sends || now >= end {
             return self.finish(failure);
         }
-        let again_at = match (again, std::mem::replace(&mut self.paused, true)) {
-            (Again::Never, _) => None,
-            (Again::After(pause), false) => Some((now + pause).min(end)),
-            (Again::After(_), true) => Some(end),
+        let retry_at = match (same_owner, std::mem::replace(&mut self.delayed_once, true)) {
+            (SameOwnerRetry::Never, _) => None,
+            (SameOwnerRetry::After(delay), false) => Some((now + delay).min(end)),
+            (SameOwnerRetry::After(_), true) => Some(end),
         };
         let newer_than = target.table_index;
-        self.tried = Some(Tried {
+        self.failed_target = Some(FailedTarget {
             target,
             failure,
-            again_at,
+            retry_at,
         });
-        self.wait(now, newer_than, again_at.unwrap_or(end), failure)
+        self.wait(now, newer_than, retry_at.unwrap_or(end), failure)
     }
 
-    /// Sends a request that may be repeated again, at once.
+    /// Resends a repeatable request without a delay.
     fn send_again(&mut self, now: Duration, failure: Failure) -> FlowAction {
-        if self.sent >= self.spec.max_sends || self.time_left(now) < LEAST_TIME_LEFT {
+        if self.sent >= self.spec.max_sends || self.time_left(now) < MIN_TIME_TO_SEND {
             return self.finish(failure);
         }
         self.state = State::AskingRetry(None);
@@ -305,7 +323,10 @@
 
     fn retry(&mut self, now: Duration, resend: Option<Target>, allowed: bool) -> FlowAction {
         match (allowed, resend) {
-            (false, _) => self.finish(Failure::after(RejectKind::RetryBudget, RETRY_AFTER_BUDGET)),
+            (false, _) => self.finish(Failure::with_retry_after(
+                RejectKind::RetryBudget,
+                RETRY_AFTER_BUDGET,
+            )),
             (true, Some(target)) => self.admit(target),
             (true, None) => self.look_up(now),
         }
@@ -325,17 +346,17 @@
         FlowAction::Wait { newer_than, until }
     }
 
-    /// End of all waiting of this request; fixed at the first wait.
-    fn patience_end(&mut self, now: Duration) -> Duration {
-        let patience = MAX_WAIT.min(self.time_left(now) / PATIENCE_PART);
-        *self.patience_end.get_or_insert(now + patience)
+    /// Time at which all waits of this request end; fixed at the first wait.
+    fn wait_end(&mut self, now: Duration) -> Duration {
+        let max_wait = MAX_WAIT.min(self.time_left(now) / MAX_WAIT_DIVISOR);
+        *self.wait_end.get_or_insert(now + max_wait)
     }
 
     fn cancel_reserve(&self, now: Duration) -> Duration {
         if self.spec.repeatable {
             return Duration::ZERO;
         }
-        (self.time_left(now) / CANCEL_PART).min(LONGEST_CANCEL_RESERVE)
+        (self.time_left(now) / CANCEL_RESERVE_DIVISOR).min(MAX_CANCEL_RESERVE)
     }
 
     fn time_left(&self, now: Duration) -> Duration {
@@ -343,12 +364,12 @@
     }
 
     fn protocol_error(&mut self) -> FlowAction {
-        self.doubt |= self.sent > 0;
-        self.finish(Failure::of(RejectKind::OutcomeUnknown))
+        self.may_have_run |= self.sent > 0;
+        self.finish(Failure::new(RejectKind::OutcomeUnknown))
     }
 
     fn finish(&mut self, failure: Failure) -> FlowAction {
-        let outcome = if self.doubt {
+        let outcome = if self.may_have_run {
             Outcome::Unknown
         } else {
             Outcome::NotRun
--- a/crates/traffic/src/guards.rs
+++ b/crates/traffic/src/guards.rs
@@ -1,29 +1,29 @@
-//! Guards that a test may take out one at a time, to show that the checkers notice.
+//! Guards that a test may disable one at a time to verify that the checkers detect their absence.
 //!
-//! Invariant: without the feature `removable-guards` every guard is on.
+//! Invariant: without the feature `removable-guards` all guards are enabled.
 
-/// A protection of this crate.
+/// A safety check that a test may disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
     /// The routing table never moves back to a lower log index.
     MonotonicTable,
 }
 
-/// Which guards are on.
+/// Set of enabled guards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     monotonic_table: bool,
 }
 
 impl Guards {
-    /// Every guard on.
+    /// All guards enabled.
     pub fn all() -> Self {
         Self {
             monotonic_table: true,
         }
     }
 
-    /// Every guard on but one.
+    /// All guards enabled except one.
     #[cfg(feature = "removable-guards")]
     pub fn without(guard: Guard) -> Self {
         match guard {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether a guard is on.
+    /// Whether a guard is enabled.
     pub fn has(self, guard: Guard) -> bool {
         match guard {
             Guard::MonotonicTable => self.monotonic_table,
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions on the way of a request: routing table, admission, retry budget, ramp, ejection, and
-//! the state machine of one request.
+//! Request routing decisions without I/O: routing table, admission, retry budget, slow start, ejection,
+//! and the state machine of one request.
 //!
 //! Invariant: nothing here reads a clock, a socket or a random source. Every time is a
 //! [`std::time::Duration`] since the start of the process.
--- a/crates/traffic/src/owners.rs
+++ b/crates/traffic/src/owners.rs
@@ -1,12 +1,12 @@
-//! Owners of a service's shards, kept so that a changed copy shares what did not change.
+//! Owners of a service's shards in copy-on-write blocks.
 //!
-//! Invariant: copying the owners and changing one touches one block, whatever the count of shards.
+//! Invariant: copying the list and changing one owner copies one block, whatever the number of shards.
 
 use std::sync::Arc;
 
 use grebepin_schema::{ShardId, ShardOwner};
 
-/// Shards of one block: a change copies this many owners.
+/// Shards per block: changing one owner copies at most this many.
 const BLOCK_SHARDS: usize = 512;
 
 /// The owner of each shard of one service.
@@ -17,7 +17,7 @@
 }
 
 impl OwnerList {
-    /// Owners in the order of the shards.
+    /// Creates the list; the position of an owner is its shard number.
     pub fn new(owners: &[ShardOwner]) -> Self {
         let blocks = owners.chunks(BLOCK_SHARDS).map(Arc::from).collect();
         Self {
@@ -26,28 +26,28 @@
         }
     }
 
-    /// Count of shards.
+    /// Number of shards.
     pub fn shards(&self) -> usize {
         self.shards
     }
 
-    /// Owner of a shard; `None` when there is no such shard.
+    /// Owner of a shard; `None` if the shard does not exist.
     pub fn get(&self, shard: ShardId) -> Option<&ShardOwner> {
         let position = shard.0 as usize;
         let block = self.blocks.get(position / BLOCK_SHARDS)?;
         block.get(position % BLOCK_SHARDS)
     }
 
-    /// Replaces the owner of a shard; false when there is no such shard.
+    /// Replaces the owner of a shard; false if the shard does not exist.
     pub fn set(&mut self, shard: ShardId, owner: ShardOwner) -> bool {
         let position = shard.0 as usize;
         let Some(block) = self.blocks.get_mut(position / BLOCK_SHARDS) else {
             return false;
         };
-        let Some(place) = Arc::make_mut(block).get_mut(position % BLOCK_SHARDS) else {
+        let Some(current) = Arc::make_mut(block).get_mut(position % BLOCK_SHARDS) else {
             return false;
         };
-        *place = owner;
+        *current = owner;
         true
     }
 
--- a/crates/traffic/src/ramp.rs
+++ b/crates/traffic/src/ramp.rs
@@ -1,30 +1,30 @@
 //! Slow start of a cold server.
 //!
-//! Invariant: a cold server gets at least one request at a time and never more than its slots.
+//! Invariant: the limit of a cold server is at least one request and never above its slots.
 
 use std::time::Duration;
 
-/// Time a cold server needs until it may use all its slots.
+/// Time after which a cold server may use all its slots.
 pub const RAMP_TIME: Duration = Duration::from_secs(3);
 
-/// Rises from one slot to all of them.
+/// Concurrency limit that rises linearly from one slot to all slots of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ramp {
     started: Option<Duration>,
 }
 
 impl Ramp {
-    /// A server that is warm already.
+    /// A warm server: all slots are usable at once.
     pub fn warm() -> Self {
         Self { started: None }
     }
 
-    /// A server that is cold at `now`.
+    /// A cold server whose ramp starts at `now`.
     pub fn cold(now: Duration) -> Self {
         Self { started: Some(now) }
     }
 
-    /// Requests at once that the server may get at `now`, of its `slots`.
+    /// Maximum number of concurrent requests at `now` for a server with `slots` slots.
     pub fn limit(&self, now: Duration, slots: u32) -> u32 {
         let Some(started) = self.started else {
             return slots;
--- a/crates/traffic/src/reply.rs
+++ b/crates/traffic/src/reply.rs
@@ -1,6 +1,6 @@
-//! How a router's own answers look: status, text, time to come back.
+//! Status, text and retry delay of the answers that a router gives itself.
 //!
-//! Invariant: each kind of rejection has one status and one text, so callers may rely on both.
+//! Invariant: each kind of rejection has one status and one text, which callers may rely on.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 
 const MILLISECONDS_PER_SECOND: u64 = 1000;
 
-/// HTTP status of a rejection. An outcome that is not known is never a plain "try again" status; a
-/// request that is wrong in itself keeps the status that says so.
+/// HTTP status of a rejection. An unknown outcome never gets a status that invites a plain retry; an
+/// invalid request keeps its client error status.
 pub fn status(kind: RejectKind, outcome: Outcome) -> u16 {
     match kind {
         RejectKind::MissingKey | RejectKind::BadHeader => 400,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Text of a rejection, for people.
+/// Human-readable text of a rejection.
 pub fn message(kind: RejectKind, outcome: Outcome) -> &'static str {
     if outcome == Outcome::Unknown {
         return "the request, or an earlier attempt of it, may have run; ask for its outcome at \
@@ -60,7 +60,7 @@
     milliseconds.div_ceil(MILLISECONDS_PER_SECOND).max(1)
 }
 
-/// Body of a router's own answer; `None` when the owner's answer is passed on.
+/// Body of a router's own answer; `None` when the owner's answer is forwarded.
 pub fn reject_body(answer: &FinalAnswer, request_id: Option<RequestId>) -> Option<Reject> {
     let kind = answer.reject?;
     Some(Reject {
@@ -72,8 +72,8 @@
     })
 }
 
-/// A rejection before the request could be sent at all. `attempt` is the caller's: of a resend it is
-/// not known whether an earlier attempt ran.
+/// Rejection of a request that was never sent. `attempt` is the caller's attempt number: above 1 the
+/// outcome is unknown, because an earlier attempt may have run.
 pub fn rejected_before_send(
     kind: RejectKind,
     attempt: u32,
--- a/crates/traffic/src/retry.rs
+++ b/crates/traffic/src/retry.rs
@@ -1,15 +1,15 @@
 //! Retry budget of one service.
 //!
-//! Invariant: over any time, retries are at most the stated percentage of first attempts plus a
-//! fixed reserve, so retries cannot multiply an overload.
+//! Invariant: over any period, retries are at most the configured percentage of first attempts plus a
+//! fixed reserve, so retries cannot amplify an overload.
 
-/// Hundredths of a retry in one retry.
-const WHOLE: u64 = 100;
+/// The bucket counts in hundredths of a retry.
+const HUNDREDTHS_PER_RETRY: u64 = 100;
 
-/// Retries that may be saved up, and that a fresh budget starts with.
+/// Capacity of the bucket in retries; a new budget starts full.
 const RESERVE_RETRIES: u64 = 10;
 
-/// Token bucket: each first attempt pays in a part of a retry, each retry takes out a whole one.
+/// Token bucket: each first attempt adds a fraction of a retry, each retry removes a whole one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     percent: u64,
@@ -17,13 +17,13 @@
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries per hundred first attempts, with its reserve full. With
-    /// `percent` 0 there are no retries at all.
+    /// A budget of `percent` retries per hundred first attempts, with a full reserve. With `percent` 0
+    /// no retry is ever allowed.
     pub fn new(percent: u32) -> Self {
         let hundredths = if percent == 0 {
             0
         } else {
-            RESERVE_RETRIES * WHOLE
+            RESERVE_RETRIES * HUNDREDTHS_PER_RETRY
         };
         Self {
             percent: u64::from(percent),
@@ -31,27 +31,28 @@
         }
     }
 
-    /// Changes the percentage, as a new bundle may; what is saved up stays.
+    /// Changes the percentage, for example for a new bundle; the accumulated retries are kept.
     pub fn set_percent(&mut self, percent: u32) {
         self.percent = u64::from(percent);
     }
 
-    /// Counts a first attempt.
+    /// Adds the fraction of a retry that one first attempt earns.
     pub fn record_first_attempt(&mut self) {
-        self.hundredths = (self.hundredths + self.percent).min(RESERVE_RETRIES * WHOLE);
+        self.hundredths =
+            (self.hundredths + self.percent).min(RESERVE_RETRIES * HUNDREDTHS_PER_RETRY);
     }
 
-    /// Takes one retry out; false when the budget is spent.
+    /// Takes one retry; false if the budget is exhausted.
     pub fn try_take(&mut self) -> bool {
-        if self.percent == 0 || self.hundredths < WHOLE {
+        if self.percent == 0 || self.hundredths < HUNDREDTHS_PER_RETRY {
             return false;
         }
-        self.hundredths -= WHOLE;
+        self.hundredths -= HUNDREDTHS_PER_RETRY;
         true
     }
 
-    /// Whole retries left.
-    pub fn left(&self) -> u64 {
-        self.hundredths / WHOLE
+    /// Number of whole retries available.
+    pub fn remaining(&self) -> u64 {
+        self.hundredths / HUNDREDTHS_PER_RETRY
     }
 }
--- a/crates/traffic/src/table.rs
+++ b/crates/traffic/src/table.rs
@@ -1,6 +1,6 @@
-//! The routing table that a router follows.
+//! Routing table that a router receives from the control group.
 //!
-//! Invariant: the index in force never falls, so a bundle in force is never replaced by an older one.
+//! Invariant: the index of the current table never decreases, so a bundle is never replaced by an older one.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,72 +14,73 @@
 use crate::guards::{Guard, Guards};
 use crate::owners::OwnerList;
 
-/// What became of a snapshot or a delta.
+/// Result of applying a snapshot or a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// The table now has the state of the frame.
     Applied,
-    /// It is not newer than what is in force, and was left out.
+    /// The frame is not newer than the current table and was ignored.
     Stale,
 }
 
-/// Why a snapshot or a delta cannot be put in force; the router asks for a whole table again.
+/// Why a snapshot or a delta cannot be applied; the router then requests a full snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// It belongs to another control group.
+    /// The frame belongs to another control group.
     #[error("table of group {got}, expected {expected}", got = got.0, expected = expected.0)]
     WrongGroup {
-        /// Group that is followed.
+        /// Group that this router follows.
         expected: GroupId,
-        /// Group of the frame.
+        /// Group named in the frame.
         got: GroupId,
     },
-    /// Changes between the table in force and the delta are missing.
+    /// Changes between the current table and the delta are missing.
     #[error("delta follows index {previous}, table is at {have}", previous = previous.0, have = have.0)]
     Gap {
-        /// Index in force.
+        /// Index of the current table.
         have: LogIndex,
-        /// Index the delta follows.
+        /// Index on which the delta is based.
         previous: LogIndex,
     },
-    /// A list does not fit the service it belongs to, or names an unknown service, shard or server.
+    /// A list does not match its service, or the frame names an unknown service, shard or server.
     #[error("table frame at index {index} does not fit its services", index = index.0)]
     Malformed {
-        /// Index of the frame.
+        /// Index named in the frame.
         index: LogIndex,
     },
 }
 
-/// Routing of one service.
+/// Routing data of one service.
 #[derive(Clone, Debug)]
 pub struct ServiceRoute {
-    /// The service as the bundle describes it.
+    /// The service's definition in the bundle.
     pub service: Arc<Service>,
-    /// Standing of each server, in the bundle's order.
+    /// Standing of each server, in the same order as in the bundle.
     pub standings: Vec<ServerStanding>,
-    /// Owner of each shard.
+    /// Owner and epoch of each shard.
     pub owners: OwnerList,
 }
 
-/// Who owns a key's shard.
+/// Current ownership of a shard.
 #[derive(Clone, Copy, Debug)]
 pub struct Owner<'a> {
-    /// Shard of the key.
+    /// The shard that was looked up.
     pub shard: ShardId,
-    /// Epoch of the ownership; 0 when the shard never had an owner.
+    /// Epoch of the ownership; 0 if the shard never had an owner.
     pub epoch: Epoch,
-    /// The owner and its standing; absent while no server owns the shard.
+    /// The owning server and its standing; `None` while the shard has no owner.
     pub server: Option<(&'a Server, ServerStanding)>,
 }
 
 impl ServiceRoute {
     fn new(table: &ServiceTable, index: LogIndex) -> Result<Self, ApplyError> {
         let servers = table.service.servers.len();
-        let known = |server: Option<u32>| server.is_none_or(|place| (place as usize) < servers);
-        let fits = table.standings.len() == servers
+        let known =
+            |server: Option<u32>| server.is_none_or(|position| (position as usize) < servers);
+        let consistent = table.standings.len() == servers
             && table.owners.len() == table.service.shards.get() as usize
             && table.owners.iter().all(|owner| known(owner.server));
-        if !fits {
+        if !consistent {
             return Err(ApplyError::Malformed { index });
         }
         Ok(Self {
@@ -89,20 +90,20 @@
         })
     }
 
-    /// Owner of a key's shard.
+    /// Ownership of the shard to which a key belongs.
     pub fn owner(&self, key: &str) -> Owner<'_> {
         self.owner_of_shard(shard_of_key(key, self.service.shards.get()))
     }
 
-    /// Owner of a shard; without a server when there is no such shard.
+    /// Ownership of a shard; has no server if the shard does not exist.
     pub fn owner_of_shard(&self, shard: ShardId) -> Owner<'_> {
         let found = self.owners.get(shard);
-        let place = found
+        let position = found
             .and_then(|owner| owner.server)
-            .map(|place| place as usize);
-        let server = place.and_then(|place| {
-            let server = self.service.servers.get(place)?;
-            Some((server, *self.standings.get(place)?))
+            .map(|position| position as usize);
+        let server = position.and_then(|position| {
+            let server = self.service.servers.get(position)?;
+            Some((server, *self.standings.get(position)?))
         });
         Owner {
             shard,
@@ -111,18 +112,18 @@
         }
     }
 
-    /// The first class whose method and path prefix fit; `path` is what follows the service's name.
+    /// First request class whose method and path prefix match; `path` is the part after the service name.
     pub fn class(&self, method: &str, path: &str) -> Option<&RequestClass> {
         self.service.classes.iter().find(|class| {
-            let method_fits = class
+            let method_matches = class
                 .method
                 .as_deref()
                 .is_none_or(|wanted| wanted == method);
-            method_fits && prefix_fits(&class.path_prefix, path)
+            method_matches && prefix_matches(&class.path_prefix, path)
         })
     }
 
-    fn place_of(&self, server: &ServerName) -> Option<usize> {
+    fn position_of(&self, server: &ServerName) -> Option<usize> {
         self.service
             .servers
             .iter()
@@ -130,15 +131,15 @@
     }
 }
 
-/// A prefix fits whole segments only: `/approve` fits `/approve/7` and `/approve?x`, not `/approved`.
-fn prefix_fits(prefix: &str, path: &str) -> bool {
+/// Prefixes match whole path segments: `/approve` matches `/approve/7` and `/approve?x`, not `/approved`.
+fn prefix_matches(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
     };
     rest.is_empty() || prefix.ends_with('/') || rest.starts_with(['/', '?'])
 }
 
-/// The routing table in force; cheap to copy, as copies share what did not change.
+/// Current routing table. Cloning is cheap, because clones share unchanged data.
 #[derive(Clone, Debug)]
 pub struct RoutingTable {
     group: GroupId,
@@ -150,7 +151,7 @@
 }
 
 impl RoutingTable {
-    /// A table of a group before the first snapshot: index 0, no services.
+    /// An empty table of a group before the first snapshot, at index 0.
     pub fn new(group: GroupId, guards: Guards) -> Self {
         Self {
             group,
@@ -162,10 +163,10 @@
         }
     }
 
-    /// Puts a whole table in force, unless the one in force is as new.
+    /// Replaces the table, unless the current one is at least as new.
     ///
     /// # Errors
-    /// [`ApplyError`] when it is of another group or inconsistent; the table stays as it was.
+    /// [`ApplyError`] if the snapshot is inconsistent or of another group; the table is left unchanged.
     pub fn apply_snapshot(&mut self, snapshot: &TableSnapshot) -> Result<ApplyOutcome, ApplyError> {
         self.check_group(snapshot.group)?;
         if self.is_stale(snapshot.index) {
@@ -183,10 +184,10 @@
         Ok(ApplyOutcome::Applied)
     }
 
-    /// Puts changes in force. A delta may begin before the table's index, as it carries final values.
+    /// Applies changes. A delta may be based on an older index than the table's, as it carries final values.
     ///
     /// # Errors
-    /// [`ApplyError`] when changes are missing in between, or it does not fit; the table stays as it was.
+    /// [`ApplyError`] if earlier changes are missing or the delta does not match; the table is then unchanged.
     pub fn apply_delta(&mut self, delta: &TableDelta) -> Result<ApplyOutcome, ApplyError> {
         self.check_group(delta.group)?;
         if self.is_stale(delta.index) {
@@ -202,8 +203,8 @@
         let mut services = self.services.clone();
         for change in &delta.owners {
             let route = services.get_mut(change.service.as_str()).ok_or(malformed)?;
-            let place = change.owner.server.map(|place| place as usize);
-            if place.is_some_and(|place| place >= route.service.servers.len()) {
+            let position = change.owner.server.map(|position| position as usize);
+            if position.is_some_and(|position| position >= route.service.servers.len()) {
                 return Err(malformed);
             }
             if !Arc::make_mut(route)
@@ -215,45 +216,45 @@
         }
         for change in &delta.standings {
             let route = services.get_mut(change.service.as_str()).ok_or(malformed)?;
-            let place = route.place_of(&change.server).ok_or(malformed)?;
-            Arc::make_mut(route).standings[place] = change.standing;
+            let position = route.position_of(&change.server).ok_or(malformed)?;
+            Arc::make_mut(route).standings[position] = change.standing;
         }
         self.services = services;
         self.index = delta.index;
         Ok(ApplyOutcome::Applied)
     }
 
-    /// Group that is followed.
+    /// Control group that this router follows.
     pub fn group(&self) -> GroupId {
         self.group
     }
 
-    /// Index in force; 0 before the first snapshot.
+    /// Log index of the current table; 0 before the first snapshot.
     pub fn index(&self) -> LogIndex {
         self.index
     }
 
-    /// Version of the bundle in force; 0 before the first.
+    /// Version of the current bundle; 0 before the first snapshot.
     pub fn bundle_version(&self) -> u64 {
         self.bundle_version
     }
 
-    /// Digest of the bundle in force.
+    /// Digest of the current bundle; `None` if the snapshot named none.
     pub fn bundle_digest(&self) -> Option<&Digest> {
         self.bundle_digest.as_ref()
     }
 
-    /// Whether a table was received.
+    /// Whether a snapshot has been applied.
     pub fn is_ready(&self) -> bool {
         self.index > LogIndex(0)
     }
 
-    /// Routing of a service.
+    /// Routing data of a service; `None` for an unknown name.
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceRoute>> {
         self.services.get(name)
     }
 
-    /// Routing of every service, by name.
+    /// Routing data of all services, sorted by name.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceRoute>> {
         self.services.values()
     }
--- a/crates/traffic/tests/admission.rs
+++ b/crates/traffic/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Order, bounds and refusals of admission, ramp, retry budget and ejection.
+//! Admission order, limits and refusals; slow start, retry budget and ejection.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn a_full_queue_gives_the_place_to_a_higher_priority_only() {
-    // Priorities that wait, the newcomer's, and whether it gets the last one's place.
+fn a_full_queue_is_entered_only_at_a_higher_priority() {
+    // Priorities of the waiting requests, priority of the new request, and whether it displaces the last one.
     let table = [
         ([1, 1], 0, true),
         ([0, 1], 0, true),
@@ -75,19 +75,19 @@
         ([1, 1], 1, false),
         ([0, 1], 2, false),
     ];
-    for (waiting, newcomer, gets_in) in table {
+    for (waiting, new, displaces) in table {
         let mut admission = admission(1, 2);
         admission.offer(ZERO, 0, ms(900));
         let last = waiting.map(|priority| wait(&mut admission, priority, 500))[1];
-        match admission.offer(ZERO, newcomer, ms(500)) {
+        match admission.offer(ZERO, new, ms(500)) {
             AdmissionDecision::Waiting {
                 displaced: Some((ticket, AdmissionRefusal::QueueFull { .. })),
                 ..
             } => {
-                assert!(gets_in && ticket == last, "{waiting:?} {newcomer}");
+                assert!(displaces && ticket == last, "{waiting:?} {new}");
             }
             AdmissionDecision::Refused(AdmissionRefusal::QueueFull { retry_after }) => {
-                assert!(!gets_in && retry_after >= MIN_RETRY_AFTER);
+                assert!(!displaces && retry_after >= MIN_RETRY_AFTER);
             }
             other => panic!("{other:?}"),
         }
@@ -107,22 +107,22 @@
             AdmissionDecision::Waiting { .. }
         ));
     }
-    // Six requests of 100 ms are ahead of it.
-    let refused = |offer: &AdmissionDecision| {
+    // Six requests of 100 ms each are ahead.
+    let refused = |decision: &AdmissionDecision| {
         matches!(
-            offer,
+            decision,
             AdmissionDecision::Refused(AdmissionRefusal::DeadlineTooNear { .. })
         )
     };
     assert!(refused(&admission.offer(ms(100), 1, ms(600))));
     assert!(!refused(&admission.offer(ms(100), 1, ms(800))));
-    // A higher priority has nobody ahead.
+    // At the highest priority no waiting request is ahead.
     let mut urgent = admission.clone();
     assert!(matches!(
         urgent.offer(ms(100), 0, ms(300)),
         AdmissionDecision::Waiting { .. }
     ));
-    // Those whose time ran out meanwhile are refused, not run.
+    // Requests whose deadline is too close by then are refused, not run.
     let events = admission.tick(ms(9_500));
     let refusals = events
         .iter()
@@ -137,7 +137,7 @@
     admission.finish(ms(100), ms(100));
     admission.offer(ms(100), 0, ms(10_000));
     let low = wait_at(&mut admission, ms(100), 5, 450);
-    // Every 100 ms one request ends and a more urgent one takes its place.
+    // Every 100 ms one request ends and two requests of higher priority arrive.
     let mut refused_at = None;
     for round in 2..6 {
         let now = ms(round * 100);
@@ -152,7 +152,7 @@
     assert_eq!(
         refused_at,
         Some(ms(200)),
-        "its deadline is at 450 ms, two of 100 ms are ahead of it"
+        "its deadline is at 450 ms and two requests of 100 ms each are ahead"
     );
 }
 
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_request_with_too_little_time_for_a_slot_is_refused() {
-    // Estimate of 100 ms, one in flight, one slot free: time left, and whether it is sent.
+    // Estimate of 100 ms, one request in flight, one slot free: time left in ms, and whether it is sent.
     for (left, sent) in [(90, false), (110, false), (130, true)] {
         let mut admission = admission(2, 10);
         admission.offer(ZERO, 0, ms(10_000));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn one_frozen_request_hardly_moves_the_estimate() {
+fn one_very_slow_request_barely_changes_the_estimate() {
     let mut admission = admission(1, 10);
     for (taken, least, most) in [(10, 10, 10), (60_000, 10, 14), (10, 10, 14)] {
         admission.offer(ZERO, 0, ms(100_000));
@@ -220,7 +220,7 @@
 
 #[test]
 fn retries_stay_within_the_budget() {
-    // Percent, first attempts, and the retries that can be had: the reserve and what was paid in.
+    // Percentage, first attempts, and the retries allowed: the reserve plus the earned retries.
     let table = [(0, 1000, 0), (20, 0, 10), (20, 1000, 209), (100, 50, 59)];
     for (percent, first_attempts, expected) in table {
         let mut budget = RetryBudget::new(percent);
@@ -233,7 +233,7 @@
             taken += 1;
         }
         assert_eq!(taken, expected, "{percent} percent");
-        assert_eq!(budget.left(), 0);
+        assert_eq!(budget.remaining(), 0);
     }
 }
 
@@ -249,11 +249,11 @@
     for (pool, most) in [(1, 0), (2, 1), (3, 1), (6, 3), (15, 7)] {
         let mut ejection = Ejection::new(config);
         for server in &names(pool) {
-            for _ in 0..config.failures * 3 {
+            for _ in 0..config.failure_threshold * 3 {
                 ejection.record_failure(server, ZERO, pool);
             }
         }
-        assert_eq!(ejection.ejected(), most, "pool of {pool}");
+        assert_eq!(ejection.ejected_count(), most, "pool of {pool}");
     }
 }
 
@@ -262,32 +262,32 @@
     let config = EjectionConfig::default();
     let server = &names(2)[0];
     let mut ejection = Ejection::new(config);
-    for _ in 1..config.failures {
+    for _ in 1..config.failure_threshold {
         assert!(!ejection.record_failure(server, ZERO, 2));
     }
     assert_eq!(ejection.verdict(server, ZERO), Verdict::Allow);
     assert!(ejection.record_failure(server, ZERO, 2));
     let fail_fast = Verdict::FailFast {
-        retry_after: config.first,
+        retry_after: config.first_pause,
     };
     assert_eq!(ejection.verdict(server, ZERO), fail_fast);
-    assert_eq!(ejection.verdict(server, config.first), Verdict::Probe);
+    assert_eq!(ejection.verdict(server, config.first_pause), Verdict::Probe);
     assert!(matches!(
-        ejection.verdict(server, config.first),
+        ejection.verdict(server, config.first_pause),
         Verdict::FailFast { .. }
     ));
-    // A failed probe doubles the pause; a success ends the ejection.
-    ejection.record_failure(server, config.first, 2);
-    let retry_after = config.first * 2;
+    // A failed probe doubles the time to the next one; a success ends the ejection.
+    ejection.record_failure(server, config.first_pause, 2);
+    let retry_after = config.first_pause * 2;
     assert_eq!(
-        ejection.verdict(server, config.first),
+        ejection.verdict(server, config.first_pause),
         Verdict::FailFast { retry_after }
     );
     assert!(ejection.record_success(server));
-    assert_eq!(ejection.verdict(server, config.first), Verdict::Allow);
+    assert_eq!(ejection.verdict(server, config.first_pause), Verdict::Allow);
 }
 
-/// One step of a random run of admission.
+/// One step of a generated admission sequence.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Offer { priority: u32, time: u64 },
@@ -308,7 +308,7 @@
     proptest::collection::vec(step, 1..200)
 }
 
-/// Keeps count of the requests, and checks that each ends once.
+/// Reference model that counts requests and checks that each ends once.
 #[derive(Default)]
 struct Model {
     waiting: BTreeMap<Ticket, u32>,
@@ -333,7 +333,7 @@
     }
 }
 
-/// The same cases at each run.
+/// Fixes the seed so that every run generates the same cases.
 fn fixed_cases() -> ProptestConfig {
     ProptestConfig {
         cases: 300,
--- a/crates/traffic/tests/flow.rs
+++ b/crates/traffic/tests/flow.rs
@@ -1,4 +1,4 @@
-//! Outcome tables of one request: each failure, for each kind of request.
+//! Expected outcome of every failure for every kind of request.
 
 mod support;
 
@@ -10,9 +10,9 @@
 };
 use support::{by_attempt, spec, target, DEADLINE, KINDS, NOW};
 
-/// What happens each time the request is sent.
+/// Scripted result of one send.
 #[derive(Clone, Copy, Debug)]
-enum Send {
+enum SendResult {
     NotSent,
     Refused(Refusal),
     Lost(LossReason),
@@ -20,7 +20,7 @@
 }
 
 #[derive(Debug, PartialEq)]
-struct Seen {
+struct Observed {
     outcome: Outcome,
     reject: Option<RejectKind>,
     sent: u32,
@@ -29,16 +29,16 @@
 
 struct Script<'a> {
     spec: RequestSpec,
-    sends: &'a [Send],
+    sends: &'a [SendResult],
     cancel: Option<CancelAnswer>,
     retry_allowed: bool,
-    /// Whether the shard has moved on each time it is looked up again.
+    /// Whether the shard has a new epoch at each further lookup.
     moves: bool,
 }
 
-/// Plays a script; a send beyond it repeats its last line. Checks on the way that nothing waits past
-/// the deadline and that a request that may not be repeated is never sent again without proof.
-fn play(script: &Script<'_>) -> Seen {
+/// Runs a script; further sends repeat its last entry. Checks that no wait passes the deadline and that
+/// a request that is not repeatable is never resent without proof that it did not run.
+fn run_script(script: &Script<'_>) -> Observed {
     let (mut flow, mut action) = RequestFlow::start(script.spec, NOW);
     let mut now = NOW;
     let mut sent = 0;
@@ -49,7 +49,7 @@
             FlowAction::Finish(answer) => {
                 assert_eq!(answer.retry_after.is_some(), answer.reject.is_some());
                 assert_eq!(flow.times_sent(), sent);
-                return Seen {
+                return Observed {
                     outcome: answer.outcome,
                     reject: answer.reject,
                     sent,
@@ -85,12 +85,12 @@
                 );
                 let what = script.sends[(sent as usize).min(script.sends.len() - 1)];
                 sent += 1;
-                last_is_proof = matches!(what, Send::NotSent | Send::Refused(_));
+                last_is_proof = matches!(what, SendResult::NotSent | SendResult::Refused(_));
                 match what {
-                    Send::NotSent => FlowInput::NotSent,
-                    Send::Refused(refusal) => FlowInput::Refused(refusal),
-                    Send::Lost(reason) => FlowInput::Lost(reason),
-                    Send::Answered => FlowInput::Answered,
+                    SendResult::NotSent => FlowInput::NotSent,
+                    SendResult::Refused(refusal) => FlowInput::Refused(refusal),
+                    SendResult::Lost(reason) => FlowInput::Lost(reason),
+                    SendResult::Answered => FlowInput::Answered,
                 }
             }
         };
@@ -101,8 +101,8 @@
 #[test]
 fn each_refusal_gives_its_outcome() {
     use RejectKind::{DeadlineTooNear, OutcomeUnknown, OwnerRefused};
-    // Refusal, times sent while the shard stays and while it moves, kind, and whether the outcome is
-    // unknown even of a first attempt.
+    // Refusal, sends while the shard stays and while it moves, rejection, and whether the outcome is
+    // unknown even for a first attempt.
     let table = [
         (Refusal::WrongEpoch, [3, 3], OwnerRefused, false),
         (Refusal::NoLease, [3, 3], OwnerRefused, false),
@@ -119,29 +119,29 @@
         let kinds = KINDS.map(|kind| [(kind, false), (kind, true)]).concat();
         for ((repeatable, attempt), moves) in kinds {
             let sent = sent[usize::from(moves)];
-            // A proven tombstone speaks for the earlier attempts of a request that is not repeatable.
+            // A tombstone also covers the earlier attempts of a request that is not repeatable.
             let tombstone = refusal == Refusal::Cancelled && !repeatable;
             let outcome = match (unknown, tombstone) {
                 (true, _) => Outcome::Unknown,
                 (false, true) => Outcome::NotRun,
                 (false, false) => by_attempt(attempt),
             };
-            let seen = play(&Script {
+            let observed = run_script(&Script {
                 spec: spec(repeatable, attempt),
-                sends: &[Send::Refused(refusal)],
+                sends: &[SendResult::Refused(refusal)],
                 cancel: None,
                 retry_allowed: true,
                 moves,
             });
             let reject = Some(kind);
-            let expected = Seen {
+            let expected = Observed {
                 outcome,
                 reject,
                 sent,
                 cancels: 0,
             };
             assert_eq!(
-                seen, expected,
+                observed, expected,
                 "{refusal} repeatable {repeatable} attempt {attempt}"
             );
         }
@@ -187,9 +187,9 @@
     for reason in losses {
         for (cancel, proof) in &cancels {
             for (repeatable, attempt) in KINDS {
-                let seen = play(&Script {
+                let observed = run_script(&Script {
                     spec: spec(repeatable, attempt),
-                    sends: &[Send::Lost(reason)],
+                    sends: &[SendResult::Lost(reason)],
                     cancel: cancel.clone(),
                     retry_allowed: true,
                     moves: false,
@@ -201,14 +201,14 @@
                 };
                 let (sent, cancels) = if repeatable { (3, 0) } else { (1, 1) };
                 let reject = Some(kind);
-                let expected = Seen {
+                let expected = Observed {
                     outcome,
                     reject,
                     sent,
                     cancels,
                 };
                 assert_eq!(
-                    seen, expected,
+                    observed, expected,
                     "{reason:?} {cancel:?} repeatable {repeatable}"
                 );
             }
@@ -219,24 +219,24 @@
 #[test]
 fn sequences_give_their_outcome() {
     use RejectKind::{OutcomeUnknown, OwnerLost, OwnerRefused, RetryBudget};
-    let lost = Send::Lost(LossReason::Broken);
-    let moved = Send::Refused(Refusal::WrongEpoch);
+    let lost = SendResult::Lost(LossReason::Broken);
+    let moved = SendResult::Refused(Refusal::WrongEpoch);
     let answered = (Outcome::Answered, None);
-    // Sends, repeatable, attempt, budget left, outcome and kind, times sent.
+    // Results of the sends, repeatable, attempt, retry allowed, outcome and rejection, number of sends.
     #[rustfmt::skip]
     let table = [
-        (vec![Send::Answered], false, 1, true, answered, 1),
-        (vec![Send::Answered], false, 2, true, answered, 1),
-        (vec![Send::NotSent], false, 1, true, (Outcome::NotRun, Some(OwnerLost)), 3),
-        (vec![Send::NotSent], false, 2, true, (Outcome::Unknown, Some(OwnerLost)), 3),
+        (vec![SendResult::Answered], false, 1, true, answered, 1),
+        (vec![SendResult::Answered], false, 2, true, answered, 1),
+        (vec![SendResult::NotSent], false, 1, true, (Outcome::NotRun, Some(OwnerLost)), 3),
+        (vec![SendResult::NotSent], false, 2, true, (Outcome::Unknown, Some(OwnerLost)), 3),
         (vec![moved], false, 1, false, (Outcome::NotRun, Some(OwnerRefused)), 3),
-        // A change of owner costs no retry.
-        (vec![Send::NotSent, Send::Answered], false, 1, false, answered, 2),
-        (vec![Send::NotSent, Send::Answered], false, 1, true, answered, 2),
-        (vec![moved, Send::Answered], false, 1, true, answered, 2),
+        // A change of owner takes no retry from the budget.
+        (vec![SendResult::NotSent, SendResult::Answered], false, 1, false, answered, 2),
+        (vec![SendResult::NotSent, SendResult::Answered], false, 1, true, answered, 2),
+        (vec![moved, SendResult::Answered], false, 1, true, answered, 2),
         (vec![moved, lost], false, 1, true, (Outcome::Unknown, Some(OutcomeUnknown)), 2),
-        (vec![lost, Send::Answered], true, 1, true, answered, 2),
-        // A first attempt that was lost leaves a doubt that a later refusal does not lift.
+        (vec![lost, SendResult::Answered], true, 1, true, answered, 2),
+        // After a lost send the outcome stays unknown, even if a later send is refused.
         (vec![lost, moved], true, 1, true, (Outcome::Unknown, Some(OwnerRefused)), 3),
         (vec![lost], true, 1, false, (Outcome::Unknown, Some(RetryBudget)), 1),
     ];
@@ -248,8 +248,8 @@
             retry_allowed,
             moves: true,
         };
-        let seen = play(&script);
-        let got = (seen.outcome, seen.reject, seen.sent);
+        let observed = run_script(&script);
+        let got = (observed.outcome, observed.reject, observed.sent);
         assert_eq!(
             got,
             (outcome, reject, sent),
@@ -293,12 +293,12 @@
 }
 
 #[test]
-fn an_input_that_answers_nothing_claims_nothing() {
+fn an_unexpected_input_ends_the_flow_with_an_unknown_outcome() {
     let (mut flow, _) = RequestFlow::start(spec(false, 1), NOW);
     flow.step(NOW, FlowInput::LookedUp(OwnerLookup::Owner(target(7))));
     flow.step(NOW, FlowInput::Admitted);
     let FlowAction::Finish(answer) = flow.step(NOW, FlowInput::Woken) else {
-        panic!("ends");
+        panic!("flow does not end");
     };
     assert_eq!(answer.outcome, Outcome::Unknown);
 }
--- a/crates/traffic/tests/support/mod.rs
+++ b/crates/traffic/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Requests and owners for the tests of flows.
+//! Request specs and targets for the flow tests.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 pub const DEADLINE: Duration = Duration::from_secs(5);
 pub const NOW: Duration = Duration::from_millis(1);
 
-/// Whether it may be repeated, and the caller's attempt.
+/// Request kinds: repeatable or not, and the caller's attempt number.
 pub const KINDS: [(bool, u32); 4] = [(false, 1), (false, 2), (true, 1), (true, 2)];
 
 pub fn target(epoch: u64) -> Target {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Outcome where every send ends in proof that this attempt was not run.
+/// Expected outcome when every send provably did not run this attempt.
 pub fn by_attempt(attempt: u32) -> Outcome {
     match attempt {
         1 => Outcome::NotRun,
--- a/crates/traffic/tests/table.rs
+++ b/crates/traffic/tests/table.rs
@@ -1,4 +1,4 @@
-//! The routing table: order of snapshots and deltas, and what is refused.
+//! Routing table: ordering of snapshots and deltas, and rejection of inconsistent frames.
 
 use grebepin_schema::{
     Bundle, Epoch, GroupId, LogIndex, OwnerChange, ServerStanding, ServiceTable, ShardId,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_snapshot_is_put_in_force_only_when_it_is_newer() {
+fn a_snapshot_is_applied_only_if_it_is_newer() {
     for (index, version, applied) in [(9, 2, false), (10, 3, false), (11, 4, true)] {
         let mut table = table_at(10);
         let change = table.apply_snapshot(&snapshot(index, version));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_delta_is_put_in_force_when_nothing_is_missing() {
+fn a_delta_is_applied_only_without_a_gap() {
     let gap = ApplyError::Gap {
         have: LogIndex(10),
         previous: LogIndex(12),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_copy_keeps_its_owners_and_shares_what_did_not_change() {
+fn a_changed_clone_leaves_the_original_unchanged() {
     let before = table_at(10);
     let mut after = before.clone();
     after.apply_delta(&delta(10, 11, 1100, 1)).expect("applies");
@@ -181,16 +181,16 @@
 }
 
 #[test]
-fn frames_that_do_not_fit_are_refused_whole() {
+fn an_inconsistent_snapshot_leaves_the_table_unchanged() {
     let mut wrong_group = snapshot(20, 9);
     wrong_group.group = GroupId(2);
-    let mut short = snapshot(20, 9);
-    short.table.services[0].owners.pop();
-    let mut standings = snapshot(20, 9);
-    standings.table.services[0].standings.pop();
-    let mut stranger = snapshot(20, 9);
-    stranger.table.services[0].owners[0] = owner(2, 20);
-    for frame in [wrong_group, short, standings, stranger] {
+    let mut missing_owner = snapshot(20, 9);
+    missing_owner.table.services[0].owners.pop();
+    let mut missing_standing = snapshot(20, 9);
+    missing_standing.table.services[0].standings.pop();
+    let mut unknown_owner = snapshot(20, 9);
+    unknown_owner.table.services[0].owners[0] = owner(2, 20);
+    for frame in [wrong_group, missing_owner, missing_standing, unknown_owner] {
         let mut table = table_at(10);
         assert!(table.apply_snapshot(&frame).is_err());
         assert_eq!((table.index(), table.bundle_version()), (LogIndex(10), 3));
@@ -219,7 +219,7 @@
 
 #[cfg(feature = "removable-guards")]
 #[test]
-fn without_the_guard_an_older_table_comes_back() {
+fn without_the_guard_an_older_table_is_applied() {
     let guards = Guards::without(grebepin_traffic::Guard::MonotonicTable);
     let mut table = RoutingTable::new(GROUP, guards);
     table.apply_snapshot(&snapshot(10, 3)).expect("applies");
--- a/crates/traffic/tests/waits.rs
+++ b/crates/traffic/tests/waits.rs
@@ -1,4 +1,4 @@
-//! What a request waits for, and for how long.
+//! Waits of a request for a table change or for its owner, and their limits.
 
 mod support;
 
@@ -22,7 +22,7 @@
     };
     assert_eq!(newer_than, LogIndex(5));
     assert_eq!(until, NOW + grebepin_traffic::flow::MAX_WAIT);
-    // Woken by a change that brings no owner: the end of the wait stays where it was.
+    // A table change without an owner does not extend the wait.
     let later = NOW + Duration::from_millis(50);
     assert_eq!(flow.step(later, FlowInput::Woken), FlowAction::Lookup);
     let again = flow.step(later, no_owner());
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_request_with_little_time_is_told_long_before_its_deadline() {
+fn a_wait_takes_at_most_half_of_the_time_left() {
     for (left, patience) in [(10_000, 1500), (3000, 1500), (500, 250), (20, 10)] {
         let left = Duration::from_millis(left);
         let spec = RequestSpec {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn only_the_same_ownership_costs_a_retry() {
+fn only_a_resend_to_the_same_ownership_takes_a_retry() {
     for (refusal, pause) in [
         (Refusal::WrongEpoch, FIRST_RETRY_DELAY),
         (Refusal::NoLease, FIRST_RETRY_DELAY),
@@ -76,7 +76,7 @@
             until,
         };
         assert_eq!(flow.step(NOW, FlowInput::Refused(refusal)), wait);
-        // Another shard's change wakes it: it waits on.
+        // A table change of another shard does not end the wait.
         flow.step(NOW, FlowInput::Woken);
         assert_eq!(flow.step(NOW, found(7)), wait);
         flow.step(until, FlowInput::Woken);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_owner_that_is_gone_is_not_asked_again_until_the_shard_has_moved() {
+fn an_unreachable_owner_is_not_retried_until_the_shard_has_moved() {
     let found = |epoch| FlowInput::LookedUp(OwnerLookup::Owner(target(epoch)));
     let (mut flow, _) = RequestFlow::start(spec(false, 1), NOW);
     flow.step(NOW, found(7));
@@ -110,7 +110,7 @@
     let FlowAction::Wait { until, .. } = flow.step(NOW, FlowInput::NotSent) else {
         panic!("waits for the table");
     };
-    // The table changed, but not for this shard; then it did.
+    // First the table changes without moving this shard, then the shard moves.
     assert_eq!(flow.step(NOW, FlowInput::Woken), FlowAction::Lookup);
     let newer_than = LogIndex(7);
     assert_eq!(
@@ -120,7 +120,7 @@
     flow.step(NOW, FlowInput::Woken);
     let mut moved = flow.clone();
     assert!(matches!(moved.step(NOW, found(8)), FlowAction::Admit(_)));
-    // It did not by the end of the wait, or no more requests may wait.
+    // The shard does not move before the end of the wait, or the request cannot wait at all.
     for (now, input) in [(until, found(7)), (NOW, found(7))] {
         let mut given_up = flow.clone();
         let mut action = given_up.step(now, input);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_request_whose_deadline_came_is_not_sent() {
+fn a_request_past_its_deadline_is_not_sent() {
     for (repeatable, attempt) in KINDS {
         let (_, action) = RequestFlow::start(spec(repeatable, attempt), DEADLINE);
         let FlowAction::Finish(answer) = action else {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn time_for_a_cancellation_is_kept_back_where_it_may_be_needed() {
+fn time_for_a_cancellation_is_reserved_unless_the_request_is_repeatable() {
     for (repeatable, attempt) in KINDS {
         let (mut flow, _) = RequestFlow::start(spec(repeatable, attempt), NOW);
         flow.step(NOW, FlowInput::LookedUp(OwnerLookup::Owner(target(7))));
@@ -159,7 +159,7 @@
         };
         assert_eq!(until < DEADLINE, !repeatable);
         if !repeatable {
-            // The send timed out: the cancellation ends by the deadline, and so does the answer.
+            // After a send timeout, the cancellation still ends by the deadline.
             let action = flow.step(until, FlowInput::Lost(LossReason::TimedOut));
             let FlowAction::Cancel { until: end, .. } = action else {
                 panic!("{action:?}");
