--- a/crates/router/src/back_end.rs
+++ b/crates/router/src/back_end.rs
@@ -11,11 +11,11 @@
 use grebepin_traffic::{LossReason, Target};
 
 use crate::answer::Answer;
-use crate::gate::LOOK_INTERVAL;
 use crate::http::head::put_header;
 use crate::http::{HttpConnection, HttpError, RequestHead, ResponseHead, TimeLimit};
-use crate::link::{ConnectError, Link};
+use crate::pool::{ConnectError, Link};
 use crate::request::{ATTEMPT, DEADLINE_MS, KEY, REQUEST_ID};
+use crate::upstream::LOOK_INTERVAL;
 
 /// Header with the service's name.
 pub const SERVICE: &str = "Grebepin-Service";
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -15,11 +15,11 @@
 
 use crate::answer::Answer;
 use crate::back_end::{self, Outgoing, SendResult};
-use crate::gate::{Denied, Gate, Slot, Use};
-use crate::link::ConnectError;
 use crate::load::Ending;
+use crate::pool::ConnectError;
 use crate::request::CallerRequest;
 use crate::shared::Shared;
+use crate::upstream::{Denied, Gate, Slot, Use};
 use crate::view::{ServiceState, View};
 
 /// Time given to a server below which a time-out says nothing about the server.
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -14,15 +14,15 @@
 pub mod error;
 pub mod follow;
 pub mod forward;
-pub mod gate;
 pub mod handle;
 pub mod http;
-pub mod link;
 pub mod load;
 pub mod lookup;
+pub mod pool;
 pub mod report;
 pub mod request;
 pub mod shared;
+pub mod upstream;
 pub mod view;
 
 pub use daemon::{run, Router};
--- a/crates/router/src/gate.rs
+++ b/crates/router/src/upstream.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::clock::Clock;
-use crate::link::Link;
+use crate::pool::Link;
 
 /// Between two looks of a waiting request at whether its shard has moved.
 pub const LOOK_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::clock::Clock;
-use crate::gate::Gate;
+use crate::upstream::Gate;
 
 /// What a router keeps of one service besides its routing.
 pub struct ServiceState {
