--- a/crates/router/examples/router_load/callers.rs
+++ b/crates/router/examples/router_load/callers.rs
@@ -1,4 +1,4 @@
-//! Callers at a constant rate, or as fast as answers come.
+//! Load generators: open loop at a constant rate, and closed loop.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -11,34 +11,34 @@
 use grebepin_router::http::{HttpConnection, TimeLimit};
 use hdrhistogram::Histogram;
 
-/// Requests at a constant rate.
+/// Parameters of an open-loop run.
 pub struct Plan {
-    /// Requests a second, over all connections.
+    /// Requests per second over all connections.
     pub rate: u64,
-    /// Connections, each with a thread.
+    /// Number of connections, each with its own thread.
     pub connections: usize,
-    /// Length of the run.
+    /// Duration of the run.
     pub length: Duration,
-    /// Deadline that each request states.
+    /// Deadline of each request in ms.
     pub deadline_ms: u64,
 }
 
-/// What callers saw; times in microseconds.
-pub struct Tally {
+/// Results of a run; times in microseconds.
+pub struct Results {
     pub times: Histogram<u64>,
     pub approval_times: Histogram<u64>,
     pub refusal_times: Histogram<u64>,
     pub answered: u64,
-    /// Length of the run with its last answers.
+    /// Duration of the run including its last answers.
     pub elapsed: Duration,
-    /// Processor time of the router's threads for these callers.
+    /// CPU time of the router's connection threads in this run.
     pub router_threads: Duration,
-    /// Answered and offered, of approvals and of look-ups.
+    /// Counts of answered and offered requests, for approvals and for look-ups.
     pub classes: [[u64; 2]; 2],
     kinds: BTreeMap<String, u64>,
 }
 
-impl Default for Tally {
+impl Default for Results {
     fn default() -> Self {
         let empty = || Histogram::new(3).expect("digits");
         Self {
@@ -54,9 +54,9 @@
     }
 }
 
-impl Tally {
-    /// Adds what another counted.
-    pub fn add(&mut self, other: Tally) {
+impl Results {
+    /// Adds the results of another caller.
+    pub fn add(&mut self, other: Results) {
         self.times.add(&other.times).expect("adds");
         self.approval_times
             .add(&other.approval_times)
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Requests sent.
+    /// Number of requests sent.
     pub fn offered(&self) -> u64 {
         self.classes[0][1] + self.classes[1][1]
     }
 
-    /// Outcomes and kinds of refusals with their counts.
+    /// Counts by outcome and kind of rejection, as text.
     pub fn kinds(&self) -> String {
         let parts: Vec<String> = self
             .kinds
@@ -88,11 +88,11 @@
         parts.join(", ")
     }
 
-    fn count(&mut self, class: usize, seen: &str, time: Duration) {
+    fn count(&mut self, class: usize, outcome: &str, time: Duration) {
         let time = time.as_micros() as u64;
         self.classes[class][1] += 1;
-        *self.kinds.entry(seen.to_string()).or_default() += 1;
-        if seen != "answered" {
+        *self.kinds.entry(outcome.to_string()).or_default() += 1;
+        if outcome != "answered" {
             self.refusal_times.record(time).ok();
             return;
         }
@@ -105,9 +105,9 @@
     }
 }
 
-/// Runs a plan against addresses, one for each connection in turn. Whichever connection is free takes
-/// the next request that is due; times count from the intended start.
-pub fn open_loop(addresses: &[SocketAddr], plan: &Plan) -> Tally {
+/// Runs a plan against addresses, assigned to the connections in turn. The next due request is sent on any
+/// free connection; times are measured from the intended start.
+pub fn open_loop(addresses: &[SocketAddr], plan: &Plan) -> Results {
     let start = Instant::now() + Duration::from_millis(50);
     let requests = (plan.rate as f64 * plan.length.as_secs_f64()) as u64;
     let next = Arc::new(AtomicU64::new(0));
@@ -117,40 +117,40 @@
             let (rate, deadline_ms, next) = (plan.rate, plan.deadline_ms, Arc::clone(&next));
             thread::spawn(move || {
                 let mut caller = Caller::connect(address, number);
-                let mut tally = Tally::default();
+                let mut results = Results::default();
                 loop {
                     let request = next.fetch_add(1, Ordering::Relaxed);
                     if request >= requests {
-                        return tally;
+                        return results;
                     }
                     let due = start + Duration::from_secs_f64(request as f64 / rate as f64);
                     thread::sleep(due.saturating_duration_since(Instant::now()));
-                    let (class, seen) = caller.call(deadline_ms);
-                    tally.count(class, &seen, due.elapsed());
+                    let (class, outcome) = caller.call(deadline_ms);
+                    results.count(class, &outcome, due.elapsed());
                 }
             })
         })
         .collect();
-    let mut tally = gather(threads);
-    tally.elapsed = start.elapsed();
-    tally
+    let mut results = join_all(threads);
+    results.elapsed = start.elapsed();
+    results
 }
 
-/// Callers that each wait for their answer before they send the next request. `router_threads` counts
-/// the processor time of the router's threads for them, while their connections are still open.
-pub fn closed_loop(address: SocketAddr, callers: usize, length: Duration) -> Tally {
+/// Runs callers that each wait for an answer before the next request. `router_threads` is the CPU time of
+/// the router's connection threads, read while the connections are still open.
+pub fn closed_loop(address: SocketAddr, callers: usize, length: Duration) -> Results {
     let end = Instant::now() + length;
     let threads: Vec<_> = (0..callers)
         .map(|number| {
             thread::spawn(move || {
                 let mut caller = Caller::connect(address, number);
-                let mut tally = Tally::default();
+                let mut results = Results::default();
                 while Instant::now() < end {
                     let started = Instant::now();
-                    let (class, seen) = caller.call(2000);
-                    tally.count(class, &seen, started.elapsed());
+                    let (class, outcome) = caller.call(2000);
+                    results.count(class, &outcome, started.elapsed());
                 }
-                (tally, caller)
+                (results, caller)
             })
         })
         .collect();
@@ -158,18 +158,18 @@
         .into_iter()
         .map(|thread| thread.join().expect("caller ends"))
         .collect();
-    let mut all = Tally {
-        router_threads: processor_time("caller"),
-        ..Tally::default()
+    let mut all = Results {
+        router_threads: cpu_time("caller"),
+        ..Results::default()
     };
-    for (tally, _open) in ended {
-        all.add(tally);
+    for (results, _open) in ended {
+        all.add(results);
     }
     all
 }
 
-/// Processor time of this process's threads of one name.
-fn processor_time(name: &str) -> Duration {
+/// Total CPU time of this process's threads with a given name.
+fn cpu_time(name: &str) -> Duration {
     let tasks = fs::read_dir("/proc/self/task")
         .into_iter()
         .flatten()
@@ -183,8 +183,8 @@
     Duration::from_nanos(nanoseconds.sum())
 }
 
-fn gather(threads: Vec<thread::JoinHandle<Tally>>) -> Tally {
-    let mut all = Tally::default();
+fn join_all(threads: Vec<thread::JoinHandle<Results>>) -> Results {
+    let mut all = Results::default();
     for thread in threads {
         all.add(thread.join().expect("caller ends"));
     }
@@ -208,7 +208,7 @@
         }
     }
 
-    /// One request; the class (0 is an approval) and what came of it.
+    /// Sends one request; returns its class (0 is an approval) and its outcome.
     fn call(&mut self, deadline_ms: u64) -> (usize, String) {
         self.sent += 1;
         let key = self.number * 7919 + self.sent;
@@ -229,7 +229,7 @@
         let body = self
             .http
             .read_body(head.body, 1 << 20, limit)
-            .expect("whole answer");
+            .expect("complete answer");
         assert_eq!(
             head.headers.text("Grebepin-Request-Id"),
             Some(id.as_str()),
--- a/crates/router/examples/router_load/fleet.rs
+++ b/crates/router/examples/router_load/fleet.rs
@@ -1,4 +1,4 @@
-//! A router with a control replica and back ends in this process.
+//! Router, control replica and back ends in one process.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
@@ -17,14 +17,14 @@
 const SHARDS: u32 = 1024;
 const BODY: &str = "approved, balance 123.45";
 
-/// A router and its back ends.
+/// A running router with its back ends.
 pub struct Fleet {
     pub router: Router,
     pub back_ends: Vec<SocketAddr>,
 }
 
 impl Fleet {
-    /// Back ends with `slots` each, which take `service` for a request.
+    /// Starts a router and back ends with `slots` slots each and a service time of `service`.
     pub fn start(servers: u32, slots: u32, service: Duration) -> Self {
         let back_ends: Vec<SocketAddr> = (0..servers).map(|_| back_end(slots, service)).collect();
         let control = control(table(&back_ends, slots));
@@ -89,7 +89,7 @@
     }
 }
 
-/// Sends the table, then says every second that it is current.
+/// Starts a control replica that sends the table and then a `Current` frame every second.
 fn control(table: TableSnapshot) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("listens");
     let address = listener.local_addr().expect("address");
@@ -110,7 +110,7 @@
     address
 }
 
-/// Slots of one back end; a request past them waits, as in a server that does not shed.
+/// Slots of one back end. Requests beyond them wait, as in a server without load shedding.
 struct Slots {
     free: Mutex<u32>,
     freed: Condvar,
--- a/crates/router/examples/router_load/main.rs
+++ b/crates/router/examples/router_load/main.rs
@@ -1,5 +1,5 @@
-//! Measures one router on loopback: added latency, throughput by threads, overload, and what
-//! `rouille` alone bounds.
+//! Measures one router on loopback: added latency, throughput by number of callers, goodput under overload,
+//! and the thread count with silent callers compared with `rouille` alone.
 //!
 //! `cargo run --release -p grebepin-router --example router_load -- latency|threads|overload|rouille`
 
@@ -13,7 +13,7 @@
 use clap::{Parser, Subcommand};
 use hdrhistogram::Histogram;
 
-use callers::{closed_loop, open_loop, Plan, Tally};
+use callers::{closed_loop, open_loop, Plan, Results};
 use fleet::Fleet;
 
 const SILENT_CONNECTIONS: usize = 600;
@@ -21,29 +21,29 @@
 
 #[derive(Parser)]
 struct Arguments {
-    /// Length of each measurement in seconds.
+    /// Duration of each measurement in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
     #[command(subcommand)]
-    what: What,
+    measurement: Measurement,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Through the router against straight to the back ends, in one run at a constant rate.
+enum Measurement {
+    /// Latency through the router and directly to the back ends, at a constant rate.
     Latency {
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 3600)]
         rate: u64,
-        /// Connections of callers.
+        /// Number of caller connections.
         #[arg(long, default_value_t = 32)]
         connections: usize,
     },
-    /// Requests a second with 1, 2, 4 and 8 callers that each wait for their answer.
+    /// Requests per second with 1, 2, 4, 8, 16 and 32 closed-loop callers.
     Threads,
-    /// Goodput with more than the back ends can run, by class.
+    /// Goodput by class at up to 10 times the capacity of the back ends.
     Overload,
-    /// Threads of this process while silent callers are connected to `rouille` alone, and to a router.
+    /// Thread count while silent callers are connected to a router, and to `rouille` alone.
     Rouille,
 }
 
@@ -51,11 +51,11 @@
     let arguments = Arguments::parse();
     let length = Duration::from_secs(arguments.seconds);
     println!("load average before: {}", load_average());
-    match arguments.what {
-        What::Latency { rate, connections } => latency(rate, connections, length),
-        What::Threads => threads(length),
-        What::Overload => overload(length),
-        What::Rouille => rouille_alone(),
+    match arguments.measurement {
+        Measurement::Latency { rate, connections } => latency(rate, connections, length),
+        Measurement::Threads => threads(length),
+        Measurement::Overload => overload(length),
+        Measurement::Rouille => rouille_alone(),
     }
     println!("load average after: {}", load_average());
 }
@@ -67,11 +67,14 @@
         "{:>8} {:>8} {:>8} {:>8} {:>8} {:>9}",
         "way", "p50", "p90", "p99", "p99.9", "answered"
     );
-    // Turn by turn, so that both ways meet the same neighbours.
-    let mut ways = [("direct", Tally::default()), ("router", Tally::default())];
+    // The two paths alternate, so that other load on the machine affects both alike.
+    let mut paths = [
+        ("direct", Results::default()),
+        ("router", Results::default()),
+    ];
     for _ in 0..4 {
-        for (way, tally) in &mut ways {
-            let addresses = match *way {
+        for (path, results) in &mut paths {
+            let addresses = match *path {
                 "direct" => fleet.back_ends.clone(),
                 _ => vec![fleet.router.address()],
             };
@@ -81,13 +84,13 @@
                 length: length / 4,
                 deadline_ms: 2000,
             };
-            tally.add(open_loop(&addresses, &plan));
+            results.add(open_loop(&addresses, &plan));
         }
     }
-    for (way, tally) in &ways {
-        print_times(way, &tally.times, tally.answered);
+    for (path, results) in &paths {
+        print_times(path, &results.times, results.answered);
     }
-    let [direct, router] = ways.map(|(_, tally)| tally.times);
+    let [direct, router] = paths.map(|(_, results)| results.times);
     let added = |percentile| milliseconds(&router, percentile) - milliseconds(&direct, percentile);
     println!(
         "added by the router: p50 {:.3} ms, p99 {:.3} ms",
@@ -104,11 +107,11 @@
         "callers", "requests/s", "p50", "p99", "p99.9", "router us/req"
     );
     for callers in [1, 2, 4, 8, 16, 32] {
-        let tally = closed_loop(fleet.router.address(), callers, length / 4);
-        let rate = tally.answered as f64 / (length / 4).as_secs_f64();
+        let results = closed_loop(fleet.router.address(), callers, length / 4);
+        let rate = results.answered as f64 / (length / 4).as_secs_f64();
         let [p50, p99, p999] =
-            [50.0, 99.0, 99.9].map(|percentile| milliseconds(&tally.times, percentile));
-        let each = tally.router_threads.as_secs_f64() * 1e6 / tally.answered as f64;
+            [50.0, 99.0, 99.9].map(|percentile| milliseconds(&results.times, percentile));
+        let each = results.router_threads.as_secs_f64() * 1e6 / results.answered as f64;
         println!("{callers:>8} {rate:>12.0} {p50:>8.3} {p99:>8.3} {p999:>8.3} {each:>16.1}");
     }
     fleet.router.stop();
@@ -130,19 +133,19 @@
             length,
             deadline_ms: 200,
         };
-        let tally = open_loop(&[fleet.router.address()], &plan);
+        let results = open_loop(&[fleet.router.address()], &plan);
         let share = |[answered, offered]: [u64; 2]| 100.0 * answered as f64 / offered.max(1) as f64;
         println!(
             "{:>5}x {:>9.0} {:>9.0} {:>9.1}% {:>9.1}% {:>9.1} {:>9.1}",
             factor,
-            tally.offered() as f64 / tally.elapsed.as_secs_f64(),
-            tally.answered as f64 / tally.elapsed.as_secs_f64(),
-            share(tally.classes[0]),
-            share(tally.classes[1]),
-            milliseconds(&tally.approval_times, 99.0),
-            milliseconds(&tally.refusal_times, 99.0),
+            results.offered() as f64 / results.elapsed.as_secs_f64(),
+            results.answered as f64 / results.elapsed.as_secs_f64(),
+            share(results.classes[0]),
+            share(results.classes[1]),
+            milliseconds(&results.approval_times, 99.0),
+            milliseconds(&results.refusal_times, 99.0),
         );
-        println!("       {}", tally.kinds());
+        println!("       {}", results.kinds());
         fleet.router.stop();
     }
 }
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -1,7 +1,7 @@
-//! Metrics and probes for operators.
+//! Admin server with metrics and health probes.
 //!
-//! Invariants: `/live` fails only when the control thread hangs; `/ready` only when the router has no
-//! table or stops; a silent client holds up no other.
+//! Invariants: `/live` fails only if the control thread hangs; `/ready` fails only if the router has no
+//! table or is stopping; a silent client never delays another.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 use crate::error::RouterError;
 use crate::shared::Shared;
 
-/// Silence of the control thread after which the process counts as hanging.
-const LONGEST_CONTROL_SILENCE: Duration = Duration::from_secs(10);
+/// Time without activity of the control thread after which `/live` fails.
+const MAX_CONTROL_IDLE: Duration = Duration::from_secs(10);
 
-/// Operators and probes connected at once.
+/// Maximum number of concurrent connections.
 const CONNECTION_LIMIT: usize = 128;
 
-/// Longest wait for a request on an open connection.
+/// Maximum wait for a request on an open connection.
 const IDLE_LIMIT: Duration = Duration::from_secs(10);
 
 const OK: u16 = 200;
@@ -30,16 +30,16 @@
 
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// The admin server; stops when told.
+/// Running admin server; [`Admin::stop`] ends it.
 pub struct Admin {
-    server: HttpServer<Operators>,
+    server: HttpServer<AdminHandler>,
 }
 
 impl Admin {
-    /// Listens on `address`.
+    /// Binds `address` and starts serving.
     ///
     /// # Errors
-    /// [`RouterError::Listen`] when the address is taken or not this machine's.
+    /// [`RouterError::Listen`] if the address is in use or does not belong to this machine.
     pub fn start(address: SocketAddr, shared: Arc<Shared>) -> Result<Self, RouterError> {
         let listener = TcpListener::bind(address).map_err(|error| RouterError::Listen {
             address,
@@ -50,31 +50,31 @@
             idle: Some(IDLE_LIMIT),
             ..ServerOptions::default()
         };
-        let server = HttpServer::start(listener, options, Operators(shared))?;
+        let server = HttpServer::start(listener, options, AdminHandler(shared))?;
         Ok(Self { server })
     }
 
-    /// Address listened on.
+    /// Local address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Stops the server.
+    /// Closes the listener and all connections.
     pub fn stop(self) {
         self.server.close();
     }
 }
 
-struct Operators(Arc<Shared>);
+struct AdminHandler(Arc<Shared>);
 
-impl ServerHooks for Operators {
+impl ServerHooks for AdminHandler {
     fn answer(&self, question: Question) -> Answer {
         let shared = &*self.0;
         match (question.method.as_str(), question.path.as_str()) {
             ("GET", "/metrics") => metrics(shared),
-            ("GET", "/live") => probe(shared.control_silent_for() < LONGEST_CONTROL_SILENCE),
-            ("GET", "/ready") => probe(shared.view().table.is_ready() && !shared.is_leaving()),
-            ("GET", "/v1/table-index") => Answer::json(&in_force(shared)),
+            ("GET", "/live") => probe(shared.control_idle_time() < MAX_CONTROL_IDLE),
+            ("GET", "/ready") => probe(shared.view().table.is_ready() && !shared.is_draining()),
+            ("GET", "/v1/table-index") => Answer::json(&table_index(shared)),
             _ => Answer::new(NOT_FOUND),
         }
     }
@@ -87,14 +87,14 @@
     }
 }
 
-fn probe(well: bool) -> Answer {
-    match well {
+fn probe(healthy: bool) -> Answer {
+    match healthy {
         true => Answer::data(OK, TEXT, "ok\n"),
         false => Answer::data(UNAVAILABLE, TEXT, "not ok\n"),
     }
 }
 
-fn in_force(shared: &Shared) -> InForceRecord {
+fn table_index(shared: &Shared) -> InForceRecord {
     let view = shared.view();
     InForceRecord {
         router: shared.settings.name.clone(),
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,6 +1,6 @@
 //! Answers to callers.
 //!
-//! Invariant: every answer names its request where that is known, and its outcome.
+//! Invariant: every answer carries its outcome, and its request identifier where that is known.
 
 use grebepin_schema::{Outcome, RejectKind, RequestId};
 use grebepin_traffic::{reply, FinalAnswer};
@@ -8,48 +8,48 @@
 use crate::http::head::put_header;
 use crate::request::REQUEST_ID;
 
-/// Header with the outcome.
+/// Answer header with the outcome of the request.
 pub const OUTCOME: &str = "Grebepin-Outcome";
 
 const JSON: &[u8] = b"application/json";
 
-/// An answer to a caller.
+/// An answer to a caller, complete with its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Status, such as 200.
+    /// HTTP status, such as 200.
     pub status: u16,
-    /// Header lines, without those of the connection.
+    /// Header lines, without connection headers and `Content-Length`.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Whole body.
+    /// Complete body; empty for answers to `HEAD`.
     pub body: Vec<u8>,
-    /// Length to state in place of the body's, for answers to `HEAD`.
-    pub stated_length: Option<u64>,
+    /// `Content-Length` to send instead of the body's size, for answers to `HEAD`.
+    pub content_length: Option<u64>,
 }
 
 impl Answer {
-    /// An answer without headers.
+    /// Creates an answer without headers.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
             headers: Vec::new(),
             body,
-            stated_length: None,
+            content_length: None,
         }
     }
 
-    /// A JSON answer.
+    /// Creates an answer with a JSON body.
     pub fn json(status: u16, body: Vec<u8>) -> Self {
         let mut answer = Self::new(status, body);
         answer.add("Content-Type", JSON);
         answer
     }
 
-    /// Adds a header line.
+    /// Appends a header line; existing lines of the same name stay.
     pub fn add(&mut self, name: &str, value: &[u8]) {
         self.headers.push((name.to_string(), value.to_vec()));
     }
 
-    /// The router's own answer to a request.
+    /// Creates the router's own answer to a request that it rejects.
     pub fn rejected(answer: &FinalAnswer, request_id: Option<&RequestId>) -> Self {
         let kind = answer.reject.unwrap_or(RejectKind::OutcomeUnknown);
         let body = reply::reject_body(answer, request_id.cloned());
@@ -62,28 +62,32 @@
             let seconds = reply::retry_after_seconds(time).to_string();
             reply.add("Retry-After", seconds.as_bytes());
         }
-        reply.mark(answer.outcome, request_id);
+        reply.add_outcome(answer.outcome, request_id);
         reply
     }
 
-    /// Adds the outcome and the request's identifier.
-    pub fn mark(&mut self, outcome: Outcome, request_id: Option<&RequestId>) {
+    /// Adds the headers with the outcome and the request identifier.
+    pub fn add_outcome(&mut self, outcome: Outcome, request_id: Option<&RequestId>) {
         self.add(OUTCOME, outcome.to_string().as_bytes());
         if let Some(id) = request_id {
             self.add(REQUEST_ID, id.as_bytes());
         }
     }
 
-    /// The whole answer as bytes.
+    /// Serializes head and body.
     pub fn encode(&self, keep_alive: bool) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(256 + self.body.len());
-        let line = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let line = format!(
+            "HTTP/1.1 {} {}\r\n",
+            self.status,
+            reason_phrase(self.status)
+        );
         bytes.extend_from_slice(line.as_bytes());
         for (name, value) in &self.headers {
             put_header(&mut bytes, name, value);
         }
         if self.status != 204 && self.status != 304 {
-            let length = self.stated_length.unwrap_or(self.body.len() as u64);
+            let length = self.content_length.unwrap_or(self.body.len() as u64);
             put_header(&mut bytes, "Content-Length", length.to_string().as_bytes());
         }
         let connection: &[u8] = if keep_alive { b"keep-alive" } else { b"close" };
@@ -94,7 +98,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -1,8 +1,8 @@
-//! The callers' side: connections, their bounds, and the graceful stop.
+//! Caller connections: accepting, limits, request handling and graceful stop.
 //!
-//! Invariants: no more connections than the bound; a slow or silent caller is cut off; a request that
-//! was read whole gets its answer even when the router stops; an idle connection never delays a stop
-//! for longer than the drain time.
+//! Invariants: the number of connections never exceeds the limit; connections of slow or silent callers
+//! are closed; a completely read request is answered even while the router stops; an idle connection
+//! never delays a stop for longer than the drain time.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,71 +22,72 @@
 use crate::request::CallerRequest;
 use crate::shared::Shared;
 
-/// Longest silence between two requests on one connection.
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
+/// Maximum idle time between two requests on one connection.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request must be whole within this many times the longest silence of a caller.
-const WHOLE_REQUEST_FACTOR: u32 = 4;
+/// Receiving a complete request and writing an answer may each take this many times the caller's idle
+/// limit.
+const REQUEST_TIMEOUT_FACTOR: u32 = 4;
 
-/// Stack of a caller's thread in bytes.
+/// Stack size of a connection thread in bytes.
 const STACK_BYTES: usize = 256 << 10;
 
-/// Pause after the system refused a connection, so that the loop does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, which keeps the loop from spinning.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 const BAD_REQUEST: u16 = 400;
 const REQUEST_TIMEOUT: u16 = 408;
 const HEAD_TOO_LARGE: u16 = 431;
 
-/// When a caller over the bound may come back.
-const RETRY_AFTER_TURNED_AWAY: Duration = Duration::from_secs(1);
+/// Retry delay for a connection above the limit.
+const RETRY_AFTER_CONNECTION_LIMIT: Duration = Duration::from_secs(1);
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-struct Entry {
+struct ConnectionEntry {
     stream: Arc<TcpStream>,
     busy: Arc<AtomicBool>,
 }
 
-/// Connections of callers.
+/// Open connections of callers.
 #[derive(Default)]
 pub struct Callers {
-    open: Mutex<BTreeMap<u64, Entry>>,
+    open: Mutex<BTreeMap<u64, ConnectionEntry>>,
     closed: Condvar,
 }
 
 impl Callers {
-    /// Takes connections until the router is closed.
+    /// Accepts connections until the router is closed, one thread per connection.
     pub fn accept(self: &Arc<Self>, listener: &TcpListener, shared: &Arc<Shared>) {
         let mut number = 0;
         while !shared.is_closed() {
             match listener.accept() {
                 Ok((stream, _)) if !shared.is_closed() => {
                     number += 1;
-                    self.take(number, stream, shared);
+                    self.open_connection(number, stream, shared);
                 }
                 Ok(_) => {}
-                Err(_) => thread::sleep(ACCEPT_PAUSE),
+                Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
             }
         }
     }
 
-    /// Wakes [`Callers::accept`] up, so that it sees that the router stops.
+    /// Connects to `address` to unblock [`Callers::accept`], which then notices that the router is closed.
     pub fn wake(address: SocketAddr) {
         TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok();
     }
 
-    /// Waits until no connection is open, at most for `longest`.
-    pub fn wait_until_empty(&self, longest: Duration) {
+    /// Waits until no connection is open, for at most `timeout`.
+    pub fn wait_until_empty(&self, timeout: Duration) {
         let open = self.lock();
         let waited = self
             .closed
-            .wait_timeout_while(open, longest, |open| !open.is_empty());
+            .wait_timeout_while(open, timeout, |open| !open.is_empty());
         drop(waited);
     }
 
-    /// Ends the connections: idle ones at once, those with a request after its answer, and the rest
-    /// after `drain`. Returns how many were cut off.
+    /// Closes the connections: idle ones at once, busy ones after their answer, and the rest after
+    /// `drain`. Returns the number of connections that were still open after `drain`.
     pub fn drain(&self, drain: Duration) -> usize {
         let end = Instant::now() + drain;
         let open = self.lock();
@@ -108,18 +109,18 @@
         open.len()
     }
 
-    fn take(self: &Arc<Self>, number: u64, stream: TcpStream, shared: &Arc<Shared>) {
-        let most = shared.limits().caller_connections as usize;
-        if self.lock().len() >= most {
+    fn open_connection(self: &Arc<Self>, number: u64, stream: TcpStream, shared: &Arc<Shared>) {
+        let limit = shared.limits().caller_connections as usize;
+        if self.lock().len() >= limit {
             shared.metrics.refused_connections.inc();
-            turn_away(stream);
+            reject_connection(stream);
             return;
         }
         let Ok(connection) = HttpConnection::new(stream) else {
             return;
         };
         let busy = Arc::new(AtomicBool::new(false));
-        let entry = Entry {
+        let entry = ConnectionEntry {
             stream: Arc::clone(connection.stream()),
             busy: Arc::clone(&busy),
         };
@@ -131,12 +132,12 @@
             .name("caller".into())
             .stack_size(STACK_BYTES)
             .spawn(move || {
-                let _open = OpenConnection {
+                let _guard = ConnectionGuard {
                     callers,
                     shared: Arc::clone(&threads_shared),
                     number,
                 };
-                Caller {
+                CallerConnection {
                     connection,
                     shared: &threads_shared,
                     busy,
@@ -154,30 +155,30 @@
         self.closed.notify_all();
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, Entry>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, ConnectionEntry>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Takes the connection off the list, whatever ends its thread.
-struct OpenConnection {
+/// Removes the connection from the list when its thread ends, also by a panic.
+struct ConnectionGuard {
     callers: Arc<Callers>,
     shared: Arc<Shared>,
     number: u64,
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.callers.close(self.number, &self.shared);
     }
 }
 
-/// Tells a caller over the bound to come back, without waiting for it.
-fn turn_away(stream: TcpStream) {
+/// Answers a connection above the limit with a retry delay, without blocking on it.
+fn reject_connection(stream: TcpStream) {
     let last = reply::rejected_before_send(
         RejectKind::QueueFull,
         u32::MAX,
-        Some(RETRY_AFTER_TURNED_AWAY),
+        Some(RETRY_AFTER_CONNECTION_LIMIT),
     );
     let bytes = Answer::rejected(&last, None).encode(false);
     if stream.set_nonblocking(true).is_ok() {
@@ -186,46 +187,46 @@
     }
 }
 
-struct Caller<'a> {
+struct CallerConnection<'a> {
     connection: HttpConnection,
     shared: &'a Shared,
     busy: Arc<AtomicBool>,
 }
 
-impl Caller<'_> {
+impl CallerConnection<'_> {
     fn serve(&mut self) {
-        let mut patience = self.shared.limits().caller_idle;
-        while self.wait(patience).is_ok() {
+        let mut timeout = self.shared.limits().caller_idle;
+        while self.wait(timeout).is_ok() {
             self.busy.store(true, Ordering::Release);
-            let open = self.serve_one();
+            let open = self.serve_request();
             self.busy.store(false, Ordering::Release);
             if !open || self.shared.is_closed() {
                 return;
             }
-            patience = KEEP_ALIVE;
+            timeout = KEEP_ALIVE_TIMEOUT;
         }
     }
 
-    fn wait(&mut self, patience: Duration) -> Result<(), HttpError> {
+    fn wait(&mut self, timeout: Duration) -> Result<(), HttpError> {
         let limit = TimeLimit {
-            until: Instant::now() + patience,
-            idle: patience,
+            until: Instant::now() + timeout,
+            idle: timeout,
         };
         self.connection.wait_for_message(limit)
     }
 
-    /// Serves one request; false when the connection ends with it.
-    fn serve_one(&mut self) -> bool {
+    /// Serves one request; false if the connection is to be closed.
+    fn serve_request(&mut self) -> bool {
         let arrived = Instant::now();
         let idle = self.shared.limits().caller_idle;
         let limit = TimeLimit {
-            until: arrived + idle * WHOLE_REQUEST_FACTOR,
+            until: arrived + idle * REQUEST_TIMEOUT_FACTOR,
             idle,
         };
         let head = match self.connection.read_request_head(limit) {
             Ok(head) => head,
             Err(error) => {
-                self.refuse_unread(&error);
+                self.refuse_unreadable(&error);
                 return false;
             }
         };
@@ -235,8 +236,10 @@
             arrived,
         };
         let shared = self.shared;
-        let room = shared.body_room(most_bytes(request.head.body, shared.limits().body_bytes));
-        let (answer, whole) = match self.read_body(&request.head, room.is_some(), limit) {
+        let body_permit =
+            shared.reserve_body(body_limit(request.head.body, shared.limits().body_bytes));
+        let (answer, body_read) = match self.read_body(&request.head, body_permit.is_some(), limit)
+        {
             Ok(body) => {
                 request.body = body;
                 (handle(shared, &request), true)
@@ -244,22 +247,22 @@
             Err(Some(kind)) => (refuse(shared, &request, kind), false),
             Err(None) => return false,
         };
-        let keep_alive = whole && request.head.keep_alive && !shared.is_leaving();
+        let keep_alive = body_read && request.head.keep_alive && !shared.is_draining();
         self.write(&answer, keep_alive) && keep_alive
     }
 
-    /// Reads the body; `Err(None)` when the caller is gone.
+    /// Reads the body; `Err(None)` if the caller closed the connection.
     fn read_body(
         &mut self,
         head: &RequestHead,
-        has_room: bool,
+        has_permit: bool,
         limit: TimeLimit,
     ) -> Result<Vec<u8>, Option<RejectKind>> {
         let maximum = self.shared.limits().body_bytes;
         if matches!(head.body, BodyLength::Known(bytes) if bytes > maximum) {
             return Err(Some(RejectKind::BodyTooLarge));
         }
-        if !has_room {
+        if !has_permit {
             return Err(Some(RejectKind::QueueFull));
         }
         if head.expects_continue && self.connection.write(CONTINUE, limit).is_err() {
@@ -273,8 +276,8 @@
         })
     }
 
-    /// Answers a request whose head could not be read; nothing is known of its attempt.
-    fn refuse_unread(&mut self, error: &HttpError) {
+    /// Answers a request whose head could not be read. Its attempt number is unknown: it counts as a resend.
+    fn refuse_unreadable(&mut self, error: &HttpError) {
         let status = match error {
             HttpError::TimedOut => REQUEST_TIMEOUT,
             HttpError::TooLarge => HEAD_TOO_LARGE,
@@ -290,7 +293,7 @@
     fn write(&mut self, answer: &Answer, keep_alive: bool) -> bool {
         let idle = self.shared.limits().caller_idle;
         let limit = TimeLimit {
-            until: Instant::now() + idle * WHOLE_REQUEST_FACTOR,
+            until: Instant::now() + idle * REQUEST_TIMEOUT_FACTOR,
             idle,
         };
         let written = self.connection.write(&answer.encode(keep_alive), limit);
@@ -301,8 +304,8 @@
     }
 }
 
-/// Most bytes that a body may take.
-fn most_bytes(length: BodyLength, maximum: u64) -> u64 {
+/// Maximum size in bytes that a body of this length may reach.
+fn body_limit(length: BodyLength, maximum: u64) -> u64 {
     match length {
         BodyLength::Known(bytes) => bytes.min(maximum),
         BodyLength::Chunked | BodyLength::UntilClose => maximum,
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,8 +1,8 @@
-//! The process's monotonic clock, as the pure crates want it.
+//! Monotonic clock of the process, as the time since its start that the crates without I/O use.
 
 use std::time::{Duration, Instant};
 
-/// Turns instants into times since the start of the router and back.
+/// Converts between instants and times since the start of the router.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -16,17 +16,17 @@
         }
     }
 
-    /// Time since the start.
+    /// Time since the start of the clock.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Time of an instant; zero for one before the start.
+    /// Time since the start at an instant; zero for an earlier instant.
     pub fn time_of(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.start)
     }
 
-    /// The instant of a time.
+    /// Instant at a time since the start.
     pub fn instant(&self, time: Duration) -> Instant {
         self.start + time
     }
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -1,6 +1,6 @@
 //! Start and stop of a router.
 //!
-//! Invariant: a planned stop answers every request that was read whole, within the drain time.
+//! Invariant: a planned stop answers every completely read request, within the drain time.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -18,10 +18,10 @@
 use crate::follow::follow;
 use crate::shared::Shared;
 
-/// Part of the drain time, one in this many, for which a router still takes connections and requests.
-const LEAVE_PART: u32 = 10;
+/// A stopping router still accepts connections and requests for the drain time divided by this.
+const DRAIN_GRACE_DIVISOR: u32 = 10;
 
-/// A running router.
+/// A running router with its threads and listeners.
 pub struct Router {
     shared: Arc<Shared>,
     callers: Arc<Callers>,
@@ -32,10 +32,10 @@
 }
 
 impl Router {
-    /// Starts a router; port 0 in an address lets the system choose one.
+    /// Starts a router. With port 0 in an address the operating system chooses a port.
     ///
     /// # Errors
-    /// [`RouterError`] when an address cannot be listened on or the system refuses a thread.
+    /// [`RouterError`] if an address cannot be bound or a thread cannot be started.
     pub fn start(settings: RouterSettings) -> Result<Self, RouterError> {
         let listen = settings.listen_address;
         let listener = TcpListener::bind(listen).map_err(|error| RouterError::Listen {
@@ -48,9 +48,9 @@
         let admin = Admin::start(admin_address, Arc::clone(&shared))?;
         let callers = Arc::new(Callers::default());
         let control = spawn("control", &shared, |shared| follow(&shared))?;
-        let accepting = Arc::clone(&callers);
+        let accepted_callers = Arc::clone(&callers);
         let acceptor = spawn("acceptor", &shared, move |shared| {
-            accepting.accept(&listener, &shared);
+            accepted_callers.accept(&listener, &shared);
         })?;
         event!(
             Event::RouterStarted,
@@ -67,48 +67,48 @@
         })
     }
 
-    /// Address for callers.
+    /// Local address of the listener for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Address for metrics and probes.
+    /// Local address of the listener for metrics and probes.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// State of the router, for measurements.
+    /// State shared by the router's threads, for tests and measurements.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Stops. First it leaves: it is not ready any more, and ends each connection with its next answer,
-    /// so that callers find another router without a failed request. Then it takes no connection and no
-    /// request, answers what was read, and cuts off the rest after the drain time. Returns how many
-    /// connections were cut off.
+    /// Stops the router. First it drains: it reports not ready and closes each connection with its next
+    /// answer, so that callers switch to another router without a failed request. Then it accepts no
+    /// connection and no request, answers the requests already read, and closes the rest after the drain
+    /// time. Returns the number of connections that were still open at that point.
     pub fn stop(self) -> usize {
         event!(Event::StopRequested);
         let drain = self.shared.limits().drain;
-        let leaving = drain / LEAVE_PART;
-        self.shared.leave();
-        self.callers.wait_until_empty(leaving);
+        let grace = drain / DRAIN_GRACE_DIVISOR;
+        self.shared.start_draining();
+        self.callers.wait_until_empty(grace);
         self.shared.close();
         Callers::wake(self.address);
         self.acceptor.join().ok();
-        let cut = self.callers.drain(drain - leaving);
+        let still_open = self.callers.drain(drain - grace);
         self.shared.stop();
         self.control.join().ok();
         self.admin.stop();
         event!(Event::Stopped);
-        cut
+        still_open
     }
 }
 
-/// Runs a router with a settings file until it is told to stop by `SIGTERM` or `SIGINT`. With
-/// `check_only` it only checks the settings, against this machine too.
+/// Runs a router with a settings file until `SIGTERM` or `SIGINT`. With `check_only` it only checks the
+/// settings, including against this machine.
 ///
 /// # Errors
-/// [`RouterError`]; its [`RouterError::exit_code`] is the process's.
+/// [`RouterError`]; [`RouterError::exit_code`] gives the exit code of the process.
 pub fn run(path: &Path, check_only: bool) -> Result<(), RouterError> {
     let settings = load_router(path)?;
     settings.check_host()?;
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -1,7 +1,7 @@
-//! The control thread: follows the routing table of a control replica or relay.
+//! Control thread: follows the routing table of a control replica or relay.
 //!
-//! Invariants: only this thread changes the view in force; a table that cannot be put in force is
-//! asked for again as a whole; without a control replica the last table stays in force, since a stale
+//! Invariants: only this thread replaces the current view; after a table frame that cannot be applied, a
+//! full snapshot is requested; without a control replica the last table stays in use, because a stale
 //! table is slow but never unsafe.
 
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -18,17 +18,17 @@
 use crate::report::report;
 use crate::shared::Shared;
 
-/// Longest time to connect to or write to a control replica.
+/// Timeout of connecting and of each write to a control replica.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Silence after which another control replica is asked.
-const LONGEST_SILENCE: Duration = Duration::from_secs(3);
+/// Time without a frame after which the router connects to another control replica.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause between two connections.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay between two connections to control replicas.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Frames read ahead of the control thread.
-const READ_AHEAD: usize = 64;
+/// Frames buffered between the reader thread and the control thread.
+const FRAME_QUEUE_CAPACITY: usize = 64;
 
 /// Why a session with a control replica ended.
 #[derive(Debug, thiserror::Error)]
@@ -41,29 +41,29 @@
     Frame(#[from] FrameError),
     #[error("table: {0}")]
     Table(#[from] ApplyError),
-    #[error("silent for too long")]
-    Silent,
-    #[error("router stops")]
+    #[error("no frame received within the timeout")]
+    TimedOut,
+    #[error("router is stopping")]
     Stopping,
 }
 
-/// Follows the table until the router stops.
+/// Follows the routing table until the router stops; runs on the control thread.
 pub fn follow(shared: &Arc<Shared>) {
     let mut follower = Follower {
         shared,
         next: 0,
         redirect: None,
-        ask_whole: false,
-        reported: Instant::now(),
-        lost: false,
+        needs_snapshot: false,
+        last_report_at: Instant::now(),
+        is_loss_logged: false,
     };
     loop {
-        shared.control_runs();
-        follower.follow_one();
+        shared.record_control_activity();
+        follower.follow_next();
         shared.metrics.table_is_current.set(0);
         select! {
             recv(shared.stop_signal()) -> _ => return,
-            default(RECONNECT_PAUSE) => {}
+            default(RECONNECT_DELAY) => {}
         }
     }
 }
@@ -72,31 +72,31 @@
     shared: &'a Arc<Shared>,
     next: usize,
     redirect: Option<SocketAddr>,
-    ask_whole: bool,
-    reported: Instant,
-    lost: bool,
+    needs_snapshot: bool,
+    last_report_at: Instant,
+    is_loss_logged: bool,
 }
 
 impl Follower<'_> {
-    /// One session with one control replica.
-    fn follow_one(&mut self) {
+    /// Runs one session with one control replica and handles its end.
+    fn follow_next(&mut self) {
         let address = self.next_address();
         let Err(end) = self.session(address);
         match &end {
             SessionEnd::Redirected(address) => self.redirect = *address,
             SessionEnd::Stopping => {}
             SessionEnd::Table(error) => {
-                let again = !std::mem::replace(&mut self.ask_whole, true);
-                self.redirect = again.then_some(address);
+                let first_refusal = !std::mem::replace(&mut self.needs_snapshot, true);
+                self.redirect = first_refusal.then_some(address);
                 event!(Event::TableRefused, address = address, reason = error);
             }
-            // Once for each loss, not for each attempt to come back.
-            _ if std::mem::replace(&mut self.lost, true) => {}
+            // Logged once per loss, not for each attempt to reconnect.
+            _ if std::mem::replace(&mut self.is_loss_logged, true) => {}
             _ => event!(Event::ControlLost, address = address, reason = end),
         }
     }
 
-    /// Where a replica redirected to, or else the next one of the settings.
+    /// Address of the last redirect, or else the next one in the settings.
     fn next_address(&mut self) -> SocketAddr {
         if let Some(address) = self.redirect.take() {
             return address;
@@ -112,7 +112,7 @@
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(CONTROL_TIMEOUT))?;
         write_frame(&mut stream, &self.follow_request())?;
-        let (frames, reader) = read_ahead(stream.try_clone()?)?;
+        let (frames, reader) = spawn_frame_reader(stream.try_clone()?)?;
         let end = self.run(&mut stream, &frames, address);
         drop(frames);
         stream.shutdown(Shutdown::Both).ok();
@@ -122,7 +122,7 @@
 
     fn follow_request(&self) -> RouterFrame {
         let settings = &self.shared.settings;
-        let have_index = match self.ask_whole {
+        let have_index = match self.needs_snapshot {
             true => LogIndex(0),
             false => self.shared.view().table.index(),
         };
@@ -141,36 +141,36 @@
         frames: &Receiver<Result<ControlFrame, FrameError>>,
         address: SocketAddr,
     ) -> Result<std::convert::Infallible, SessionEnd> {
-        let mut heard = Instant::now();
+        let mut last_frame_at = Instant::now();
         let mut followed = false;
         loop {
-            self.shared.control_runs();
-            let report_due = self.reported + self.shared.limits().report;
-            let wake = report_due.min(heard + LONGEST_SILENCE);
+            self.shared.record_control_activity();
+            let report_due = self.last_report_at + self.shared.limits().report;
+            let wake = report_due.min(last_frame_at + FRAME_TIMEOUT);
             select! {
                 recv(self.shared.stop_signal()) -> _ => return Err(SessionEnd::Stopping),
                 recv(frames) -> frame => {
-                    self.take_frame(frame.unwrap_or(Err(FrameError::Closed))?)?;
-                    heard = Instant::now();
-                    self.lost = false;
+                    self.apply_frame(frame.unwrap_or(Err(FrameError::Closed))?)?;
+                    last_frame_at = Instant::now();
+                    self.is_loss_logged = false;
                     if !std::mem::replace(&mut followed, true) {
                         event!(Event::ControlFollowed, address = address);
                     }
                 }
                 recv(after(wake.saturating_duration_since(Instant::now()))) -> _ => {}
             }
-            if heard.elapsed() >= LONGEST_SILENCE {
-                return Err(SessionEnd::Silent);
+            if last_frame_at.elapsed() >= FRAME_TIMEOUT {
+                return Err(SessionEnd::TimedOut);
             }
-            if self.reported.elapsed() >= self.shared.limits().report {
-                let interval = self.reported.elapsed();
-                self.reported = Instant::now();
+            if self.last_report_at.elapsed() >= self.shared.limits().report {
+                let interval = self.last_report_at.elapsed();
+                self.last_report_at = Instant::now();
                 write_frame(stream, &report(self.shared, interval))?;
             }
         }
     }
 
-    fn take_frame(&mut self, frame: ControlFrame) -> Result<(), SessionEnd> {
+    fn apply_frame(&mut self, frame: ControlFrame) -> Result<(), SessionEnd> {
         match frame {
             ControlFrame::Redirect(redirect) => {
                 let address = redirect
@@ -180,10 +180,10 @@
             }
             ControlFrame::Current(_) => {}
             ControlFrame::Snapshot(snapshot) => {
-                self.ask_whole = false;
+                self.needs_snapshot = false;
                 let mut table = self.shared.view().table.clone();
                 if table.apply_snapshot(&snapshot)? == ApplyOutcome::Applied {
-                    self.put_in_force(table);
+                    self.install(table);
                 }
             }
             ControlFrame::Delta(delta) => {
@@ -191,8 +191,8 @@
                 let mut table = view.table.clone();
                 if table.apply_delta(&delta)? == ApplyOutcome::Applied {
                     match delta.standings.is_empty() {
-                        true => self.shared.put_in_force(view.with_owners(table)),
-                        false => self.put_in_force(table),
+                        true => self.shared.publish(view.with_owners(table)),
+                        false => self.install(table),
                     }
                 }
             }
@@ -201,13 +201,13 @@
         Ok(())
     }
 
-    fn put_in_force(&self, table: RoutingTable) {
+    fn install(&self, table: RoutingTable) {
         let view = self.shared.view();
-        let other_bundle = table.bundle_version() != view.table.bundle_version();
+        let bundle_changed = table.bundle_version() != view.table.bundle_version();
         let (index, version) = (table.index(), table.bundle_version());
         let next = view.with_table(table, &self.shared.metrics, self.shared.clock);
-        self.shared.put_in_force(next);
-        if other_bundle {
+        self.shared.publish(next);
+        if bundle_changed {
             event!(Event::TableInForce, index = index.0, bundle = version);
         }
     }
@@ -215,9 +215,11 @@
 
 type Frames = Receiver<Result<ControlFrame, FrameError>>;
 
-/// Reads frames on a thread of its own, until the connection ends or nobody wants them.
-fn read_ahead(mut stream: TcpStream) -> Result<(Frames, thread::JoinHandle<()>), std::io::Error> {
-    let (sender, receiver) = bounded(READ_AHEAD);
+/// Reads frames on a separate thread until the connection ends or the receiver is dropped.
+fn spawn_frame_reader(
+    mut stream: TcpStream,
+) -> Result<(Frames, thread::JoinHandle<()>), std::io::Error> {
+    let (sender, receiver) = bounded(FRAME_QUEUE_CAPACITY);
     let reader = thread::Builder::new()
         .name("control-reader".into())
         .spawn(move || loop {
--- a/crates/router/src/handle.rs
+++ b/crates/router/src/handle.rs
@@ -1,6 +1,6 @@
-//! From a caller's whole request to its answer.
+//! Handles a completely read request: routing, permits, metrics and the answer.
 //!
-//! Invariant: every refusal is immediate and tells when to come back.
+//! Invariant: a refusal is immediate; temporary conditions carry a retry delay.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -9,23 +9,23 @@
 use grebepin_traffic::{reply, RequestSpec};
 
 use crate::answer::Answer;
-use crate::forward::{forward, Routed};
+use crate::forward::{forward, RoutedRequest};
 use crate::lookup;
 use crate::request::{attempt_of, request_id, split_target, CallerHeaders, CallerRequest};
 use crate::shared::Shared;
 
-/// Prefix of the router's own paths.
-const OWN_PREFIX: &str = "/-/";
+/// Path prefix of the router's own endpoints.
+const ROUTER_PATH_PREFIX: &str = "/-/";
 
-const RETRY_AFTER_START: Duration = Duration::from_millis(500);
+const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(500);
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(200);
 
-/// Number of the next request that came without an identifier.
+/// Sequence number for the next generated request identifier.
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// Answers a request.
+/// Handles a request and returns its answer; blocks until the answer is complete.
 pub fn handle(shared: &Shared, request: &CallerRequest) -> Answer {
-    if request.head.target.starts_with(OWN_PREFIX) {
+    if request.head.target.starts_with(ROUTER_PATH_PREFIX) {
         return lookup::answer(shared, request);
     }
     match route(shared, request) {
@@ -34,10 +34,10 @@
     }
 }
 
-/// The router's own answer to a request that was not sent.
+/// Rejects a request that was not sent, and counts it in the metrics of its service.
 pub fn refuse(shared: &Shared, request: &CallerRequest, kind: RejectKind) -> Answer {
     let retry_after = match kind {
-        RejectKind::NoTable | RejectKind::RouterStopping => Some(RETRY_AFTER_START),
+        RejectKind::NoTable | RejectKind::RouterStopping => Some(RETRY_AFTER_UNAVAILABLE),
         RejectKind::QueueFull => Some(RETRY_AFTER_FULL),
         _ => None,
     };
@@ -53,11 +53,11 @@
     Answer::rejected(&answer, id.as_ref())
 }
 
-fn run(shared: &Shared, routed: &Routed<'_>) -> Answer {
+fn run(shared: &Shared, routed: &RoutedRequest<'_>) -> Answer {
     let Some(_permit) = shared.permit(routed.priority) else {
         return refuse(shared, routed.request, RejectKind::QueueFull);
     };
-    routed.state.first_attempt();
+    routed.state.record_first_attempt();
     let (answer, last) = forward(shared, routed);
     let elapsed = routed.request.arrived.elapsed().as_secs_f64();
     routed
@@ -70,7 +70,7 @@
     answer
 }
 
-fn route<'a>(shared: &Shared, request: &'a CallerRequest) -> Result<Routed<'a>, RejectKind> {
+fn route<'a>(shared: &Shared, request: &'a CallerRequest) -> Result<RoutedRequest<'a>, RejectKind> {
     if shared.is_closed() {
         return Err(RejectKind::RouterStopping);
     }
@@ -85,29 +85,31 @@
     let class = route
         .class(&request.head.method, path)
         .ok_or(RejectKind::UnknownClass)?;
-    let longest = Duration::from_millis(class.deadline_ms.get());
-    let wanted = headers.deadline.unwrap_or(shared.limits().default_deadline);
-    Ok(Routed {
+    let class_limit = Duration::from_millis(class.deadline_ms.get());
+    let requested = headers.deadline.unwrap_or(shared.limits().default_deadline);
+    Ok(RoutedRequest {
         request,
         service: route.service.name.clone(),
         state: state.clone(),
         key: headers.key,
-        request_id: headers.request_id.unwrap_or_else(|| own_identifier(shared)),
+        request_id: headers
+            .request_id
+            .unwrap_or_else(|| generate_request_id(shared)),
         priority: class.priority,
         spec: RequestSpec {
             repeatable: class.repeatable,
             attempt: headers.attempt,
-            deadline: shared.clock.time_of(request.arrived) + wanted.min(longest),
+            deadline: shared.clock.time_of(request.arrived) + requested.min(class_limit),
             max_sends: route.service.retry.attempts.get(),
         },
     })
 }
 
-/// An identifier for a request that came without one; unique over starts of the router.
-fn own_identifier(shared: &Shared) -> RequestId {
+/// Generates an identifier for a request without one; unique across starts of the router.
+fn generate_request_id(shared: &Shared) -> RequestId {
     let number = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
     let name = shared.settings.name.as_str();
-    // A name is at most 63 characters, so the identifier is within its 128.
+    // A router name has at most 63 characters, so the identifier stays within its limit of 128.
     format!("{name}:{:x}:{number}", shared.incarnation)
         .parse()
         .expect("a name and two numbers")
--- a/crates/router/src/http/connection.rs
+++ b/crates/router/src/http/connection.rs
@@ -1,6 +1,6 @@
-//! One buffered connection.
+//! Buffered HTTP connection.
 //!
-//! Invariant: bytes are given out in the order they came and none is lost between two messages.
+//! Invariant: bytes are consumed in the order of arrival and none is lost between two messages.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -9,23 +9,23 @@
 
 use super::head::{BodyLength, RequestHead, ResponseHead};
 
-/// Part of a wait that the system is told as its time-out.
-const TIMEOUT_PART: f64 = 0.9;
+/// Fraction of a wait that is set as the socket timeout.
+const SOCKET_TIMEOUT_FRACTION: f64 = 0.9;
 
-/// Shortest time-out that the system is told.
-const SHORTEST_TIMEOUT: Duration = Duration::from_micros(100);
+/// Minimum socket timeout.
+const MIN_SOCKET_TIMEOUT: Duration = Duration::from_micros(100);
 
-/// Largest head of a request or an answer in bytes.
-const MAXIMUM_HEAD_BYTES: usize = 32 << 10;
+/// Maximum size of a request or answer head in bytes.
+const MAX_HEAD_BYTES: usize = 32 << 10;
 
-/// Room for one read.
+/// Buffer space for one read in bytes.
 const READ_BYTES: usize = 16 << 10;
 
-/// Least room for one read.
-const LEAST_READ_BYTES: usize = 4 << 10;
+/// Minimum buffer space for one read in bytes.
+const MIN_READ_BYTES: usize = 4 << 10;
 
-/// Longest line that states a chunk's size.
-const MAXIMUM_CHUNK_LINE_BYTES: usize = 256;
+/// Maximum length of a chunk size line in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 /// Why a message could not be read or written.
 #[derive(Debug, thiserror::Error)]
@@ -36,17 +36,17 @@
     /// The peer closed the connection within a message.
     #[error("connection closed within a message")]
     Truncated,
-    /// The time for it ended.
-    #[error("time ended")]
+    /// The time limit was reached.
+    #[error("timed out")]
     TimedOut,
     /// The connection failed.
     #[error("connection failed: {0}")]
     Io(io::Error),
-    /// The message breaks the protocol.
+    /// The message violates the protocol.
     #[error("malformed message")]
     Malformed,
-    /// A head or body is over its bound.
-    #[error("message over the bound")]
+    /// A head, chunk line or body exceeds its size limit.
+    #[error("message exceeds its size limit")]
     TooLarge,
 }
 
@@ -59,67 +59,69 @@
     }
 }
 
-/// How long reads and writes may take.
+/// Time limit of a sequence of reads and writes.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeLimit {
-    /// End of all of them together.
+    /// Time at which the whole sequence must be complete.
     pub until: Instant,
-    /// Longest silence of the peer in each.
+    /// Maximum time without progress in each read or write.
     pub idle: Duration,
 }
 
 impl TimeLimit {
-    /// The limit of one read or write that begins at `began`.
-    fn from(&self, began: Instant) -> Self {
+    /// Limit of one read or write that starts at `began`.
+    fn for_step(&self, began: Instant) -> Self {
         Self {
             until: self.until.min(began + self.idle),
             idle: self.idle,
         }
     }
 
-    /// Time left for a read or write.
-    fn next(&self) -> Result<Duration, HttpError> {
+    /// Time left for a read or write; an error if there is none.
+    fn time_left(&self) -> Result<Duration, HttpError> {
         match self.until.saturating_duration_since(Instant::now()) {
             Duration::ZERO => Err(HttpError::TimedOut),
             left => Ok(left),
         }
     }
 
-    fn is_over(&self, began: Instant) -> bool {
-        self.from(began).next().is_err()
+    fn is_exceeded(&self, began: Instant) -> bool {
+        self.for_step(began).time_left().is_err()
     }
 }
 
-/// A connection with what was read from it ahead of its use.
+/// A connection with a buffer of bytes read ahead.
 #[derive(Debug)]
 pub struct HttpConnection {
     stream: Arc<TcpStream>,
-    /// Room for reads; what was read and not used yet is `buffer[used..filled]`.
+    /// Read buffer; `buffer[used..filled]` was read and not consumed yet.
     buffer: Vec<u8>,
     used: usize,
     filled: usize,
-    read_timeout: Timeout,
-    write_timeout: Timeout,
+    read_timeout: SocketTimeout,
+    write_timeout: SocketTimeout,
 }
 
-/// The time-out that the system was last told for one direction. Telling it costs a system call, so a
-/// somewhat shorter one is kept, and a wait that it ends early goes on.
+/// Socket timeout last set for one direction. Setting it costs a system call, so a somewhat shorter one is
+/// kept, and a wait that it ends early is resumed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Timeout(Duration);
+struct SocketTimeout(Duration);
 
-impl Timeout {
-    /// The time-out to tell the system for a wait of `wanted`; `None` when the present one will do.
-    fn renew(&mut self, wanted: Duration) -> Option<Duration> {
+impl SocketTimeout {
+    /// Socket timeout to set for a wait of `wanted`; `None` if the current one is close enough.
+    fn update_for(&mut self, wanted: Duration) -> Option<Duration> {
         if self.0 <= wanted && self.0 >= wanted / 2 {
             return None;
         }
-        self.0 = wanted.mul_f64(TIMEOUT_PART).max(SHORTEST_TIMEOUT);
+        self.0 = wanted
+            .mul_f64(SOCKET_TIMEOUT_FRACTION)
+            .max(MIN_SOCKET_TIMEOUT);
         Some(self.0)
     }
 }
 
 impl HttpConnection {
-    /// Takes over a stream; small messages are sent at once.
+    /// Wraps a stream and disables Nagle's algorithm on it.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self {
@@ -127,19 +129,19 @@
             buffer: Vec::new(),
             used: 0,
             filled: 0,
-            read_timeout: Timeout::default(),
-            write_timeout: Timeout::default(),
+            read_timeout: SocketTimeout::default(),
+            write_timeout: SocketTimeout::default(),
         })
     }
 
-    /// The stream below.
+    /// Underlying TCP stream.
     pub fn stream(&self) -> &Arc<TcpStream> {
         &self.stream
     }
 
-    /// Waits for the first byte of a message.
+    /// Waits for the first byte of a message; does not consume it.
     pub fn wait_for_message(&mut self, limit: TimeLimit) -> Result<(), HttpError> {
-        if !self.unused().is_empty() {
+        if !self.buffered().is_empty() {
             return Ok(());
         }
         match self.fill(limit)? {
@@ -153,7 +155,7 @@
         self.read_parsed(limit, RequestHead::parse)
     }
 
-    /// Reads the head of the final answer to a request with `method`.
+    /// Reads the head of the final answer to a request with `method`, skipping answers of status 1xx.
     pub fn read_response_head(
         &mut self,
         limit: TimeLimit,
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Reads a whole body of at most `maximum` bytes.
+    /// Reads a complete body of at most `maximum` bytes.
     pub fn read_body(
         &mut self,
         length: BodyLength,
@@ -177,36 +179,36 @@
         let mut body = Vec::new();
         match length {
             BodyLength::Known(bytes) if bytes > maximum => return Err(HttpError::TooLarge),
-            BodyLength::Known(bytes) => self.take_into(&mut body, bytes as usize, limit)?,
+            BodyLength::Known(bytes) => self.read_exact_into(&mut body, bytes as usize, limit)?,
             BodyLength::Chunked => self.read_chunks(&mut body, maximum, limit)?,
             BodyLength::UntilClose => self.read_until_close(&mut body, maximum, limit)?,
         }
         Ok(body)
     }
 
-    /// Writes all bytes. The error comes with whether any byte was handed to the system.
+    /// Writes all bytes. The error states whether any byte was handed to the operating system.
     pub fn write(&mut self, bytes: &[u8], limit: TimeLimit) -> Result<(), (HttpError, bool)> {
         let mut written = 0;
         let mut began = Instant::now();
         while written < bytes.len() {
-            match self.write_some(&bytes[written..], limit.from(began)) {
+            match self.write_some(&bytes[written..], limit.for_step(began)) {
                 Ok(0) => return Err((HttpError::Truncated, written > 0)),
                 Ok(count) => {
                     written += count;
                     began = Instant::now();
                 }
                 Err(HttpError::Io(error)) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(HttpError::TimedOut) if !limit.is_over(began) => {}
+                Err(HttpError::TimedOut) if !limit.is_exceeded(began) => {}
                 Err(error) => return Err((error, written > 0)),
             }
         }
         Ok(())
     }
 
-    /// Whether nothing has come since the last message, and the peer has not closed. A byte that did
-    /// come belongs to no request: the connection must not be used again.
-    pub fn is_quiet(&self) -> bool {
-        if !self.unused().is_empty() || self.stream.set_nonblocking(true).is_err() {
+    /// Whether nothing was received since the last message and the peer has not closed. A byte received
+    /// between messages belongs to no request, so the connection must not be reused.
+    pub fn has_no_unread_input(&self) -> bool {
+        if !self.buffered().is_empty() || self.stream.set_nonblocking(true).is_err() {
             return false;
         }
         let mut byte = [0];
@@ -217,27 +219,27 @@
     }
 
     fn write_some(&mut self, bytes: &[u8], limit: TimeLimit) -> Result<usize, HttpError> {
-        if let Some(timeout) = self.write_timeout.renew(limit.next()?) {
+        if let Some(timeout) = self.write_timeout.update_for(limit.time_left()?) {
             self.stream.set_write_timeout(Some(timeout))?;
         }
         Ok((&*self.stream).write(bytes)?)
     }
 
-    /// Reads until `parse` finds a value; it gives the value and the bytes that it takes.
+    /// Reads until `parse` returns a value with the number of bytes that it consumes.
     fn read_parsed<T>(
         &mut self,
         limit: TimeLimit,
         parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, HttpError>,
     ) -> Result<T, HttpError> {
         loop {
-            if let Some((head, length)) = parse(self.unused())? {
+            if let Some((head, length)) = parse(self.buffered())? {
                 self.used += length;
                 return Ok(head);
             }
-            if self.unused().len() >= MAXIMUM_HEAD_BYTES {
+            if self.buffered().len() >= MAX_HEAD_BYTES {
                 return Err(HttpError::TooLarge);
             }
-            self.fill_more(limit)?;
+            self.fill_some(limit)?;
         }
     }
 
@@ -255,9 +257,9 @@
             if size == 0 {
                 return self.skip_trailers(limit);
             }
-            self.take_into(body, size as usize, limit)?;
+            self.read_exact_into(body, size as usize, limit)?;
             let mut end = Vec::new();
-            self.take_into(&mut end, 2, limit)?;
+            self.read_exact_into(&mut end, 2, limit)?;
             if end != b"\r\n" {
                 return Err(HttpError::Malformed);
             }
@@ -266,7 +268,7 @@
 
     fn read_chunk_size(&mut self, limit: TimeLimit) -> Result<u64, HttpError> {
         loop {
-            match httparse::parse_chunk_size(self.unused()) {
+            match httparse::parse_chunk_size(self.buffered()) {
                 Ok(httparse::Status::Complete((length, size))) => {
                     self.used += length;
                     return Ok(size);
@@ -274,14 +276,14 @@
                 Ok(httparse::Status::Partial) => {}
                 Err(_) => return Err(HttpError::Malformed),
             }
-            if self.unused().len() > MAXIMUM_CHUNK_LINE_BYTES {
+            if self.buffered().len() > MAX_CHUNK_LINE_BYTES {
                 return Err(HttpError::TooLarge);
             }
-            self.fill_more(limit)?;
+            self.fill_some(limit)?;
         }
     }
 
-    /// Trailers are read and left out.
+    /// Reads and discards trailers.
     fn skip_trailers(&mut self, limit: TimeLimit) -> Result<(), HttpError> {
         let mut skipped = 0;
         loop {
@@ -290,13 +292,13 @@
             if line == 2 {
                 return Ok(());
             }
-            if skipped > MAXIMUM_HEAD_BYTES {
+            if skipped > MAX_HEAD_BYTES {
                 return Err(HttpError::TooLarge);
             }
         }
     }
 
-    /// Skips one line; returns its length with its end.
+    /// Skips one line; returns its length including the line ending.
     fn read_line(&mut self, limit: TimeLimit) -> Result<usize, HttpError> {
         self.read_parsed(limit, |bytes| {
             let end = bytes.windows(2).position(|pair| pair == b"\r\n");
@@ -311,7 +313,7 @@
         limit: TimeLimit,
     ) -> Result<(), HttpError> {
         loop {
-            body.extend_from_slice(self.unused());
+            body.extend_from_slice(self.buffered());
             self.used = self.filled;
             if body.len() as u64 > maximum {
                 return Err(HttpError::TooLarge);
@@ -322,7 +324,7 @@
         }
     }
 
-    fn take_into(
+    fn read_exact_into(
         &mut self,
         target: &mut Vec<u8>,
         count: usize,
@@ -330,35 +332,35 @@
     ) -> Result<(), HttpError> {
         let mut left = count;
         loop {
-            let ready = self.unused().len().min(left);
+            let ready = self.buffered().len().min(left);
             target.extend_from_slice(&self.buffer[self.used..self.used + ready]);
             self.used += ready;
             left -= ready;
             if left == 0 {
                 return Ok(());
             }
-            self.fill_more(limit)?;
+            self.fill_some(limit)?;
         }
     }
 
-    fn unused(&self) -> &[u8] {
+    fn buffered(&self) -> &[u8] {
         &self.buffer[self.used..self.filled]
     }
 
-    fn fill_more(&mut self, limit: TimeLimit) -> Result<(), HttpError> {
+    fn fill_some(&mut self, limit: TimeLimit) -> Result<(), HttpError> {
         match self.fill(limit)? {
             0 => Err(HttpError::Truncated),
             _ => Ok(()),
         }
     }
 
-    /// Reads once; 0 when the peer closed. The room is kept between messages, so that it is cleared
-    /// once and not for each read.
+    /// Reads once; 0 if the peer closed the connection. The buffer is kept between messages, so that it is
+    /// zeroed once and not for each read.
     fn fill(&mut self, limit: TimeLimit) -> Result<usize, HttpError> {
         self.buffer.copy_within(self.used..self.filled, 0);
         self.filled -= self.used;
         self.used = 0;
-        if self.buffer.len() < self.filled + LEAST_READ_BYTES {
+        if self.buffer.len() < self.filled + MIN_READ_BYTES {
             self.buffer.resize(self.filled + READ_BYTES, 0);
         }
         let count = self.read_into(self.filled, limit)?;
@@ -367,9 +369,9 @@
     }
 
     fn read_into(&mut self, from: usize, limit: TimeLimit) -> Result<usize, HttpError> {
-        let limit = limit.from(Instant::now());
+        let limit = limit.for_step(Instant::now());
         loop {
-            if let Some(timeout) = self.read_timeout.renew(limit.next()?) {
+            if let Some(timeout) = self.read_timeout.update_for(limit.time_left()?) {
                 self.stream.set_read_timeout(Some(timeout))?;
             }
             match (&*self.stream).read(&mut self.buffer[from..]) {
--- a/crates/router/src/http/head.rs
+++ b/crates/router/src/http/head.rs
@@ -1,14 +1,14 @@
-//! Heads of requests and answers: parsing, framing of the body, writing.
+//! Request and answer heads: parsing, body framing and writing.
 //!
-//! Invariant: a head whose body's length is ambiguous is refused, so two programs never disagree
-//! about where a message ends.
+//! Invariant: a head with an ambiguous body length is refused, so that the router and its peers never
+//! disagree on where a message ends.
 
 use super::connection::HttpError;
 
-/// Most header lines of one head.
-const MAXIMUM_HEADERS: usize = 64;
+/// Maximum number of header lines in one head.
+const MAX_HEADERS: usize = 64;
 
-/// Headers that concern one connection only and are never passed on.
+/// Headers that concern a single connection and are never forwarded.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
@@ -21,46 +21,48 @@
     "upgrade",
 ];
 
-/// Header lines in the order they came.
+/// Header lines in the order of arrival.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, Vec<u8>)>);
 
 impl Headers {
-    /// The first value of a header as text; `None` when absent or not ASCII text.
+    /// First value of a header as text; `None` if it is absent or not valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
-        let fits = |known: &str| known.eq_ignore_ascii_case(name);
-        let (_, value) = self.0.iter().find(|(known, _)| fits(known))?;
+        let matches = |known: &str| known.eq_ignore_ascii_case(name);
+        let (_, value) = self.0.iter().find(|(known, _)| matches(known))?;
         std::str::from_utf8(value).ok()
     }
 
-    /// Every value of a header.
+    /// All values of a header; the name is compared case-insensitively.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        let fits = move |known: &str| known.eq_ignore_ascii_case(name);
+        let matches = move |known: &str| known.eq_ignore_ascii_case(name);
         self.0
             .iter()
-            .filter(move |(known, _)| fits(known))
+            .filter(move |(known, _)| matches(known))
             .map(|(_, value)| value.as_slice())
     }
 
-    /// Headers that are passed on: neither of one connection nor of grebepin.
-    pub fn passed_on(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        let named = self.values("connection").next().is_some();
-        let kept = move |name: &str| {
-            if named && self.has_token("connection", name) {
+    /// Headers to forward: neither connection headers nor `Grebepin-` headers.
+    pub fn forwarded(&self) -> impl Iterator<Item = (&str, &[u8])> {
+        let lists_connection_headers = self.values("connection").next().is_some();
+        let is_forwarded = move |name: &str| {
+            if lists_connection_headers && self.has_token("connection", name) {
                 return false;
             }
-            let own = name.len() >= 9 && name.as_bytes()[..9].eq_ignore_ascii_case(b"grebepin-");
-            !own && !CONNECTION_HEADERS
-                .iter()
-                .any(|known| name.eq_ignore_ascii_case(known))
+            let is_grebepin_header =
+                name.len() >= 9 && name.as_bytes()[..9].eq_ignore_ascii_case(b"grebepin-");
+            !is_grebepin_header
+                && !CONNECTION_HEADERS
+                    .iter()
+                    .any(|known| name.eq_ignore_ascii_case(known))
         };
         self.0
             .iter()
-            .filter(move |(name, _)| kept(name))
+            .filter(move |(name, _)| is_forwarded(name))
             .map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    fn copied(headers: &[httparse::Header<'_>]) -> Self {
+    fn from_parsed(headers: &[httparse::Header<'_>]) -> Self {
         let copy = |header: &httparse::Header<'_>| (header.name.to_string(), header.value.to_vec());
         Self(headers.iter().map(copy).collect())
     }
@@ -73,7 +75,7 @@
         })
     }
 
-    /// `Ok(None)` when no length is stated.
+    /// `Ok(None)` if the head gives no body length.
     fn body_length(&self) -> Result<Option<BodyLength>, HttpError> {
         let mut lengths = self.values("content-length");
         let length = lengths.next();
@@ -99,14 +101,14 @@
     parsed.filter(|_| digits).ok_or(HttpError::Malformed)
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
-    /// This many bytes.
+    /// Fixed number of bytes, from `Content-Length`.
     Known(u64),
-    /// Chunks, the last one empty.
+    /// Chunked transfer encoding, up to the empty chunk.
     Chunked,
-    /// All bytes until the peer closes; answers only.
+    /// All bytes until the peer closes the connection; answers only.
     UntilClose,
 }
 
@@ -115,11 +117,11 @@
 pub struct RequestHead {
     /// Method, such as `GET`.
     pub method: String,
-    /// Path with query.
+    /// Request target: path with query.
     pub target: String,
-    /// Header lines.
+    /// All header lines, including those of the connection.
     pub headers: Headers,
-    /// Length of the body.
+    /// How the end of the body is determined.
     pub body: BodyLength,
     /// Whether the connection stays open after the answer.
     pub keep_alive: bool,
@@ -132,30 +134,30 @@
 pub struct ResponseHead {
     /// Status, such as 200.
     pub status: u16,
-    /// Header lines.
+    /// All header lines, including those of the connection.
     pub headers: Headers,
-    /// Length of the body.
+    /// How the end of the body is determined; known to be empty where the protocol forbids a body.
     pub body: BodyLength,
     /// Whether the connection stays open after the body.
     pub keep_alive: bool,
 }
 
 impl RequestHead {
-    /// Parses a head at the start of `bytes`; with its length in bytes. `Ok(None)` when it isn't whole.
+    /// Parses a head at the start of `bytes` and returns it with its length. `Ok(None)` if it is incomplete.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, HttpError> {
-        let mut lines = [httparse::EMPTY_HEADER; MAXIMUM_HEADERS];
+        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut lines);
         let length = match request.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err(HttpError::Malformed),
         };
-        let headers = Headers::copied(request.headers);
+        let headers = Headers::from_parsed(request.headers);
         let body = headers.body_length()?.unwrap_or(BodyLength::Known(0));
         let head = Self {
             method: request.method.unwrap_or_default().to_string(),
             target: request.path.unwrap_or_default().to_string(),
-            keep_alive: keeps_alive(request.version, &headers),
+            keep_alive: is_persistent(request.version, &headers),
             expects_continue: headers.has_token("expect", "100-continue"),
             headers,
             body,
@@ -165,10 +167,10 @@
 }
 
 impl ResponseHead {
-    /// Parses a head at the start of `bytes`, of an answer to a request with `method`; with its length
-    /// in bytes. `Ok(None)` when it isn't whole.
+    /// Parses the head of an answer to a request with `method` at the start of `bytes` and returns it with
+    /// its length. `Ok(None)` if it is incomplete.
     pub fn parse(bytes: &[u8], method: &str) -> Result<Option<(Self, usize)>, HttpError> {
-        let mut lines = [httparse::EMPTY_HEADER; MAXIMUM_HEADERS];
+        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut lines);
         let length = match response.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
@@ -176,17 +178,17 @@
             Err(_) => return Err(HttpError::Malformed),
         };
         let status = response.code.unwrap_or_default();
-        let headers = Headers::copied(response.headers);
-        let stated = headers.body_length()?.unwrap_or(BodyLength::UntilClose);
+        let headers = Headers::from_parsed(response.headers);
+        let declared_length = headers.body_length()?.unwrap_or(BodyLength::UntilClose);
         let without_body = method == "HEAD" || status < 200 || status == 204 || status == 304;
         let body = if without_body {
             BodyLength::Known(0)
         } else {
-            stated
+            declared_length
         };
         let head = Self {
             status,
-            keep_alive: keeps_alive(response.version, &headers) && body != BodyLength::UntilClose,
+            keep_alive: is_persistent(response.version, &headers) && body != BodyLength::UntilClose,
             headers,
             body,
         };
@@ -194,14 +196,14 @@
     }
 }
 
-fn keeps_alive(version: Option<u8>, headers: &Headers) -> bool {
+fn is_persistent(version: Option<u8>, headers: &Headers) -> bool {
     match version {
         Some(1) => !headers.has_token("connection", "close"),
         _ => headers.has_token("connection", "keep-alive"),
     }
 }
 
-/// Adds one header line to a head that is being written.
+/// Appends one header line to a head.
 pub fn put_header(head: &mut Vec<u8>, name: &str, value: &[u8]) {
     head.extend_from_slice(name.as_bytes());
     head.extend_from_slice(b": ");
--- a/crates/router/src/http/mod.rs
+++ b/crates/router/src/http/mod.rs
@@ -1,10 +1,9 @@
-//! HTTP/1.1 on one connection, with a bound on every size and time.
+//! HTTP/1.1 on one connection, with a limit on every size and time.
 //!
-//! The parser is the library `httparse`; this adds what a library without connection limits leaves
-//! out (see `docs/design/callers-http.md`).
+//! Heads are parsed with `httparse`; this module adds the connection limits that HTTP server libraries
+//! do not enforce (see `docs/design/callers-http.md`).
 //!
-//! Invariant: no read or write waits longer than its [`TimeLimit`], and none takes more memory than
-//! its stated bound.
+//! Invariant: no read or write takes longer than its [`TimeLimit`] or more memory than its limit.
 
 pub mod connection;
 pub mod head;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,9 +1,9 @@
-//! The router daemon: threads, sockets and clocks round `grebepin-traffic`.
+//! Router daemon: threads, sockets and clocks for the decisions of `grebepin-traffic`.
 //!
-//! One control thread follows the routing table; traffic threads read an immutable view of it.
+//! One control thread follows the routing table; request threads read an immutable view of it.
 //!
-//! Invariant: a caller gets the whole answer to its own request, or a typed answer of the router that
-//! claims `not-run` only with proof.
+//! Invariant: a caller receives the complete answer to its own request, or a typed answer from the
+//! router that reports `not-run` only with proof.
 
 pub mod admin;
 pub mod answer;
--- a/crates/router/src/load.rs
+++ b/crates/router/src/load.rs
@@ -1,6 +1,6 @@
-//! Load as this router counts it, for its reports to the control group.
+//! Load counters for the router's reports to the control group.
 //!
-//! Invariant: only what the router saw itself is counted.
+//! Invariant: only what this router observed is counted.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
@@ -8,17 +8,17 @@
 
 use grebepin_schema::{ServerLoad, ServerName, ServiceName, ShardId, ShardLoad};
 
-/// Most shards in one report.
-const REPORTED_SHARDS: usize = 64;
+/// Maximum number of shards in one report.
+const MAX_REPORTED_SHARDS: usize = 64;
 
-/// How one request sent to a server ended.
+/// Result of one send to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// With a whole answer.
+pub enum SendStatus {
+    /// A complete answer was received.
     Answered,
-    /// With a typed refusal.
+    /// The server refused with a typed refusal.
     Refused,
-    /// Without a whole answer.
+    /// No complete answer was received, or the request was not sent.
     Failed,
 }
 
@@ -28,20 +28,20 @@
     shards: BTreeMap<(ServiceName, ShardId), ShardLoad>,
 }
 
-/// Counters since the last report.
+/// Load per server and shard since the last report.
 #[derive(Default)]
 pub struct LoadCounters {
     counts: Mutex<Counts>,
 }
 
 impl LoadCounters {
-    /// Counts one request that was sent.
+    /// Counts one send; `busy` is the time that it took.
     pub fn count(
         &self,
         server: &ServerName,
         service: &ServiceName,
         shard: ShardId,
-        ending: Ending,
+        status: SendStatus,
         busy: Duration,
     ) {
         let busy_us = busy.as_micros() as u64;
@@ -52,8 +52,8 @@
         if let Some(load) = counts.servers.get_mut(server) {
             load.sent += 1;
             load.busy_us += busy_us;
-            load.failed += u64::from(ending == Ending::Failed);
-            load.refused += u64::from(ending == Ending::Refused);
+            load.failed += u64::from(status == SendStatus::Failed);
+            load.refused += u64::from(status == SendStatus::Refused);
         }
         let entry = counts.shards.entry((service.clone(), shard));
         let load = entry.or_insert_with(|| ShardLoad {
@@ -66,13 +66,13 @@
         load.busy_us += busy_us;
     }
 
-    /// Takes what was counted: every server, and the shards with the most requests.
+    /// Returns and resets the counts: all servers, and the shards with the most requests.
     pub fn take(&self) -> (Vec<ServerLoad>, Vec<ShardLoad>) {
         let counts =
             std::mem::take(&mut *self.counts.lock().unwrap_or_else(PoisonError::into_inner));
         let mut shards: Vec<ShardLoad> = counts.shards.into_values().collect();
         shards.sort_by_key(|load| std::cmp::Reverse(load.requests));
-        shards.truncate(REPORTED_SHARDS);
+        shards.truncate(MAX_REPORTED_SHARDS);
         (counts.servers.into_values().collect(), shards)
     }
 }
--- a/crates/router/src/lookup.rs
+++ b/crates/router/src/lookup.rs
@@ -1,6 +1,6 @@
-//! `GET /-/outcome/SERVICE/REQUEST-ID`: what became of a request.
+//! `GET /-/outcome/SERVICE/REQUEST-ID`: looks up the outcome of a request.
 //!
-//! Invariant: the answer is the present owner's; without one it is an error, never a guess.
+//! Invariant: the answer comes from the current owner; without an owner it is an error.
 
 use std::time::Instant;
 
@@ -11,25 +11,25 @@
 
 use crate::answer::Answer;
 use crate::back_end;
-use crate::forward::find;
+use crate::forward::find_owner;
 use crate::request::{self, CallerRequest};
 use crate::shared::Shared;
 
 const OUTCOME_PREFIX: &str = "/-/outcome/";
 
-/// A resend, as far as claims go: nothing is known of what is asked for.
-const NOTHING_KNOWN: u32 = 2;
+/// Attempt number of a request of which nothing is known; it counts as a resend, with an unknown outcome.
+const UNKNOWN_ATTEMPT: u32 = 2;
 
-/// Look-ups never take the last permits from requests.
-const LOWEST_PRIORITY: u32 = 9;
+/// Priority of lookups, which never take the permits reserved for top-priority requests.
+const LOOKUP_PRIORITY: u32 = 9;
 
-/// Time after which the owner may be asked again.
+/// Retry delay after a failed lookup.
 const RETRY_AFTER: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// Answers a request to one of the router's own paths.
+/// Answers a request to one of the router's own paths, below `/-/`.
 pub fn answer(shared: &Shared, request: &CallerRequest) -> Answer {
-    match state(shared, request) {
-        Ok((state, id)) => found(state, &id),
+    match look_up_state(shared, request) {
+        Ok((state, id)) => state_answer(state, &id),
         Err(kind) => {
             let retry_after = match kind {
                 RejectKind::NoTable
@@ -38,38 +38,38 @@
                 | RejectKind::QueueFull => Some(RETRY_AFTER),
                 _ => None,
             };
-            let last = reply::rejected_before_send(kind, NOTHING_KNOWN, retry_after);
+            let last = reply::rejected_before_send(kind, UNKNOWN_ATTEMPT, retry_after);
             Answer::rejected(&last, None)
         }
     }
 }
 
-fn found(state: RequestState, id: &RequestId) -> Answer {
+fn state_answer(state: RequestState, id: &RequestId) -> Answer {
     let body = serde_json::to_vec(&OutcomeLookup { state }).unwrap_or_default();
     let mut answer = Answer::json(200, body);
     answer.add(request::REQUEST_ID, id.as_bytes());
     answer
 }
 
-fn state(
+fn look_up_state(
     shared: &Shared,
     request: &CallerRequest,
 ) -> Result<(RequestState, RequestId), RejectKind> {
     let (service, id) = parse(&request.head.target)?;
     let key = request::key(&request.head)?;
     let view = shared.view();
-    let target = match find(&view, &service, &key) {
+    let target = match find_owner(&view, &service, &key) {
         OwnerLookup::NoTable => return Err(RejectKind::NoTable),
         OwnerLookup::NoOwner { .. } => return Err(RejectKind::NoOwner),
         OwnerLookup::Owner(target) => target,
     };
     let _permit = shared
-        .permit(LOWEST_PRIORITY)
+        .permit(LOOKUP_PRIORITY)
         .ok_or(RejectKind::QueueFull)?;
-    let gate = view.gate(&target.server).ok_or(RejectKind::NoOwner)?;
+    let upstream = view.upstream(&target.server).ok_or(RejectKind::NoOwner)?;
     let path = outcome_path(&service, &target, &id);
     let until = Instant::now() + shared.limits().default_deadline;
-    let body = back_end::get(gate.link(), &path, until, shared.limits());
+    let body = back_end::get(upstream.pool(), &path, until, shared.limits());
     let answer: Option<OutcomeAnswer> = body.and_then(|body| serde_json::from_slice(&body).ok());
     let answer = answer.ok_or(RejectKind::OwnerLost)?;
     Ok((answer.state, id))
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -14,7 +14,7 @@
     /// Settings file (TOML).
     #[arg(long, value_name = "FILE")]
     settings: PathBuf,
-    /// Only check the settings, also against this machine; exit code 2 when they are wrong.
+    /// Check the settings, including against this machine, and exit; exit code 2 if they are invalid.
     #[arg(long)]
     check_settings: bool,
 }
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,8 +1,7 @@
-//! Connections to one server.
+//! Connection pool of one server.
 //!
-//! Invariants: no more connections are open than the server accepts; a connection goes back to the
-//! idle ones only after a whole answer that belonged to its request, and is used again only if
-//! nothing has come on it since.
+//! Invariants: no more connections are open than the server accepts; a connection returns to the pool only
+//! after a complete answer to its own request, and is reused only if nothing was received on it since.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -13,144 +12,144 @@
 
 use crate::http::HttpConnection;
 
-/// Longest time for which an idle connection is kept. Short, so that a back end that closes idle
-/// connections seldom does so under a request.
-const LONGEST_IDLE: Duration = Duration::from_secs(3);
+/// Maximum idle time of a pooled connection. It is short, so that a back end that closes idle connections
+/// seldom does so while a request is being sent.
+const MAX_IDLE: Duration = Duration::from_secs(3);
 
-/// Why there is no connection; nothing was sent.
+/// Why no connection is available. Nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The address is no IP number with a port.
-    #[error("address does not parse")]
+    /// The address is not an IP address with a port.
+    #[error("invalid server address")]
     Address,
-    /// As many connections are open as the server accepts.
-    #[error("no connection is free")]
+    /// The maximum number of connections is open and in use.
+    #[error("all connections are in use")]
     Exhausted,
-    /// The server could not be reached in time.
+    /// The connection could not be established in time.
     #[error("cannot connect: {0}")]
     Failed(#[from] std::io::Error),
 }
 
-struct Idle {
+struct IdleConnection {
     connection: HttpConnection,
     since: Instant,
 }
 
-/// Connections to one server.
-pub struct Link {
+/// IdleConnection and open connections to one server.
+pub struct ConnectionPool {
     address: SocketAddress,
     target: Option<SocketAddr>,
-    most: u32,
+    max_open: u32,
     open: AtomicU32,
-    idle: Mutex<Vec<Idle>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
-/// A connection in use; closed when dropped.
-pub struct Leased<'a> {
-    link: &'a Link,
+/// A connection in use; closed when dropped without [`PooledConnection::release`].
+pub struct PooledConnection<'a> {
+    pool: &'a ConnectionPool,
     connection: Option<HttpConnection>,
-    kept: bool,
+    released: bool,
 }
 
-impl Link {
-    /// No connection yet.
-    pub fn new(address: SocketAddress, most: u32) -> Self {
+impl ConnectionPool {
+    /// Creates a pool of at most `max_open` connections; none is opened yet.
+    pub fn new(address: SocketAddress, max_open: u32) -> Self {
         Self {
             target: address.as_str().parse().ok(),
             address,
-            most,
+            max_open,
             open: AtomicU32::new(0),
             idle: Mutex::new(Vec::new()),
         }
     }
 
-    /// Address of the server.
+    /// Server address as stated in the bundle.
     pub fn address(&self) -> &SocketAddress {
         &self.address
     }
 
-    /// Connections open now.
-    pub fn open(&self) -> u32 {
+    /// Number of open connections, idle or in use.
+    pub fn open_connections(&self) -> u32 {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// An idle connection on which nothing has come since, or a new one.
+    /// Returns an idle connection on which nothing was received since its last answer, or a new one.
     ///
     /// # Errors
-    /// [`ConnectError`]; nothing was sent.
-    pub fn lease(&self, timeout: Duration) -> Result<Leased<'_>, ConnectError> {
+    /// [`ConnectError`] if neither is available; nothing was sent.
+    pub fn acquire(&self, timeout: Duration) -> Result<PooledConnection<'_>, ConnectError> {
         while let Some(idle) = self.take_idle() {
-            let leased = Leased {
-                link: self,
+            let pooled = PooledConnection {
+                pool: self,
                 connection: Some(idle.connection),
-                kept: false,
+                released: false,
             };
-            if idle.since.elapsed() < LONGEST_IDLE && leased.is_quiet() {
-                return Ok(leased);
+            if idle.since.elapsed() < MAX_IDLE && pooled.has_no_unread_input() {
+                return Ok(pooled);
             }
         }
         self.connect(timeout)
     }
 
-    fn connect(&self, timeout: Duration) -> Result<Leased<'_>, ConnectError> {
+    fn connect(&self, timeout: Duration) -> Result<PooledConnection<'_>, ConnectError> {
         let target = self.target.ok_or(ConnectError::Address)?;
-        let taken = self
+        let reserved = self
             .open
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, |open| {
-                (open < self.most).then_some(open + 1)
+                (open < self.max_open).then_some(open + 1)
             });
-        if taken.is_err() {
+        if reserved.is_err() {
             return Err(ConnectError::Exhausted);
         }
-        let mut leased = Leased {
-            link: self,
+        let mut pooled = PooledConnection {
+            pool: self,
             connection: None,
-            kept: false,
+            released: false,
         };
-        let least = Duration::from_millis(1);
-        let stream = TcpStream::connect_timeout(&target, timeout.max(least))?;
-        leased.connection = Some(HttpConnection::new(stream)?);
-        Ok(leased)
+        let minimum = Duration::from_millis(1);
+        let stream = TcpStream::connect_timeout(&target, timeout.max(minimum))?;
+        pooled.connection = Some(HttpConnection::new(stream)?);
+        Ok(pooled)
     }
 
-    fn take_idle(&self) -> Option<Idle> {
+    fn take_idle(&self) -> Option<IdleConnection> {
         self.lock().pop()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Idle>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Leased<'_> {
-    /// The connection, unless it was given back.
+impl PooledConnection<'_> {
+    /// The connection; `None` after its release.
     pub fn connection(&mut self) -> Option<&mut HttpConnection> {
         self.connection.as_mut()
     }
 
-    /// Gives a connection back after a whole answer to its own request.
-    pub fn give_back(mut self) {
+    /// Returns the connection to the pool after a complete answer to its own request.
+    pub fn release(mut self) {
         if let Some(connection) = self.connection.take() {
-            let idle = Idle {
+            let idle = IdleConnection {
                 connection,
                 since: Instant::now(),
             };
-            self.link.lock().push(idle);
-            self.kept = true;
+            self.pool.lock().push(idle);
+            self.released = true;
         }
     }
 
-    fn is_quiet(&self) -> bool {
+    fn has_no_unread_input(&self) -> bool {
         self.connection
             .as_ref()
-            .is_some_and(HttpConnection::is_quiet)
+            .is_some_and(HttpConnection::has_no_unread_input)
     }
 }
 
-impl Drop for Leased<'_> {
+impl Drop for PooledConnection<'_> {
     fn drop(&mut self) {
-        if !self.kept {
-            self.link.open.fetch_sub(1, Ordering::AcqRel);
+        if !self.released {
+            self.pool.open.fetch_sub(1, Ordering::AcqRel);
         }
     }
 }
--- a/crates/router/src/report.rs
+++ b/crates/router/src/report.rs
@@ -1,6 +1,6 @@
 //! Load reports to the control group.
 //!
-//! Invariant: the index reported is that of the table that traffic threads read.
+//! Invariant: the reported index is that of the table that request threads read.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::shared::Shared;
 
-/// The report over the last `interval`.
+/// Builds the report over the last `interval` and resets the load counters.
 pub fn report(shared: &Shared, interval: Duration) -> RouterFrame {
     let (servers, shards) = shared.load.take();
     RouterFrame::Report(LoadReport {
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,7 +1,6 @@
-//! What the threads of one router share.
+//! State shared by the threads of one router.
 //!
-//! Invariant: the view in force is replaced by the control thread only, and never by one of a lower
-//! log index.
+//! Invariant: only the control thread replaces the current view, and never with one of a lower log index.
 
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -19,44 +18,44 @@
 use crate::load::LoadCounters;
 use crate::view::View;
 
-/// Priority whose requests may use every permit.
+/// Priority whose requests may use all permits.
 const TOP_PRIORITY: u32 = 0;
 
-/// Part of the permits, one in this many, that is kept for the top priority.
-const KEPT_PART: u64 = 4;
+/// The number of permits divided by this is reserved for the top priority.
+const RESERVED_PERMITS_DIVISOR: u64 = 4;
 
-/// What the threads of one router share.
+/// State shared by the threads of one router.
 pub struct Shared {
-    /// Settings of the router.
+    /// Settings as loaded at the start.
     pub settings: RouterSettings,
-    /// Clock of the process.
+    /// Monotonic clock that starts with the router.
     pub clock: Clock,
-    /// Registry of all metrics.
+    /// Registry that renders all metrics.
     pub registry: Metrics,
-    /// Metrics of the router.
+    /// Metrics of the router that belong to no service.
     pub metrics: RouterMetrics,
-    /// Load counted since the last report.
+    /// Load counters since the last report.
     pub load: LoadCounters,
-    /// Number of this start.
+    /// Random number that identifies this start of the router.
     pub incarnation: u64,
     view: ArcSwap<View>,
     index: Mutex<LogIndex>,
     changed: Condvar,
-    leaving: AtomicBool,
+    draining: AtomicBool,
     closed: AtomicBool,
     stop_sender: Mutex<Option<Sender<Infallible>>>,
     stop_receiver: Receiver<Infallible>,
-    control_seen: AtomicU64,
-    running: Permits,
-    waiting_for_table: Permits,
-    body_bytes: Permits,
+    control_active_at: AtomicU64,
+    running: Semaphore,
+    waiting_for_table: Semaphore,
+    body_bytes: Semaphore,
 }
 
 impl Shared {
-    /// State of a router that starts.
+    /// Creates the state of a starting router, with an empty table.
     ///
     /// # Errors
-    /// [`MetricsError`] when a metric cannot be registered.
+    /// [`MetricsError`] if a metric cannot be registered.
     pub fn new(settings: RouterSettings, incarnation: u64) -> Result<Self, MetricsError> {
         let registry = Metrics::new();
         let metrics = RouterMetrics::register(&registry)?;
@@ -73,30 +72,30 @@
             view: ArcSwap::from_pointee(View::new(table)),
             index: Mutex::new(LogIndex(0)),
             changed: Condvar::new(),
-            leaving: AtomicBool::new(false),
+            draining: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             stop_sender: Mutex::new(Some(stop_sender)),
             stop_receiver,
-            control_seen: AtomicU64::new(0),
-            running: Permits::new(threads),
-            waiting_for_table: Permits::new((threads / 2).max(1)),
-            body_bytes: Permits::new(body_bytes),
+            control_active_at: AtomicU64::new(0),
+            running: Semaphore::new(threads),
+            waiting_for_table: Semaphore::new((threads / 2).max(1)),
+            body_bytes: Semaphore::new(body_bytes),
             settings,
         })
     }
 
-    /// Bounds of the router.
+    /// Limits from the settings.
     pub fn limits(&self) -> &RouterLimits {
         &self.settings.limits
     }
 
-    /// The view in force.
+    /// The current view; it stays valid after a replacement.
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Puts a view in force and wakes those who wait for it.
-    pub fn put_in_force(&self, view: View) {
+    /// Replaces the current view and wakes the threads in [`Shared::wait_for_table`].
+    pub fn publish(&self, view: View) {
         let index = view.table.index();
         self.metrics.table_index.set(index.0 as i64);
         self.metrics
@@ -107,14 +106,14 @@
         self.changed.notify_all();
     }
 
-    /// Waits until the index in force is above `beyond`, at most until `until`. False, at once, when
-    /// too many requests wait already.
-    pub fn wait_for_table(&self, beyond: LogIndex, until: Instant) -> bool {
+    /// Waits until the index of the current table is above `newer_than`, at most until `until`. Returns
+    /// false at once if too many requests are waiting already.
+    pub fn wait_for_table(&self, newer_than: LogIndex, until: Instant) -> bool {
         let Some(_permit) = self.waiting_for_table.take(1, 0) else {
             return false;
         };
         let mut index = self.index.lock().unwrap_or_else(PoisonError::into_inner);
-        while *index <= beyond {
+        while *index <= newer_than {
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 break;
@@ -125,49 +124,49 @@
         true
     }
 
-    /// A permit to run a request; `None` when the router has as many as it may. The last quarter of
-    /// the permits is kept for the top priority.
+    /// Takes a permit to run a request; `None` if no permit is free. The last quarter of the permits is
+    /// reserved for the top priority.
     pub fn permit(&self, priority: u32) -> Option<Permit<'_>> {
-        let kept = match priority {
+        let reserved = match priority {
             TOP_PRIORITY => 0,
-            _ => self.running.most / KEPT_PART,
+            _ => self.running.limit / RESERVED_PERMITS_DIVISOR,
         };
-        self.running.take(1, kept)
+        self.running.take(1, reserved)
     }
 
-    /// Room for a body of at most `bytes`. All callers' bodies together take at most as much memory as
-    /// `threads` bodies of the largest size; `None` when this is used up.
-    pub fn body_room(&self, bytes: u64) -> Option<Permit<'_>> {
+    /// Reserves memory for a body of at most `bytes`. The bodies of all callers together take at most as
+    /// much memory as `threads` bodies of the maximum size; `None` if that is exhausted.
+    pub fn reserve_body(&self, bytes: u64) -> Option<Permit<'_>> {
         self.body_bytes.take(bytes, 0)
     }
 
-    /// Requests that run now.
+    /// Number of requests being handled.
     pub fn running(&self) -> u64 {
         self.running.taken.load(Ordering::Acquire)
     }
 
-    /// The router leaves: it still answers requests, and ends each connection with its next answer.
-    pub fn leave(&self) {
-        self.leaving.store(true, Ordering::Release);
+    /// Starts draining: requests are still answered, and each connection is closed with its next answer.
+    pub fn start_draining(&self) {
+        self.draining.store(true, Ordering::Release);
     }
 
-    /// Whether the router leaves.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
+    /// Whether the router is draining or closed.
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Acquire)
     }
 
-    /// From now on no connection and no request is taken.
+    /// Stops accepting connections and requests.
     pub fn close(&self) {
-        self.leave();
+        self.start_draining();
         self.closed.store(true, Ordering::Release);
     }
 
-    /// Whether no connection and no request is taken any more.
+    /// Whether connections and requests are no longer accepted.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Ends the control thread.
+    /// Signals the control thread to end; does not wait for it.
     pub fn stop(&self) {
         let sender = self
             .stop_sender
@@ -177,52 +176,52 @@
         drop(sender);
     }
 
-    /// A channel that is disconnected by [`Shared::stop`], and never carries anything.
+    /// A channel that [`Shared::stop`] disconnects; it never carries a message.
     pub fn stop_signal(&self) -> &Receiver<Infallible> {
         &self.stop_receiver
     }
 
-    /// The control thread says that it runs.
-    pub fn control_runs(&self) {
+    /// Records that the control thread is running; called by the control thread.
+    pub fn record_control_activity(&self) {
         let now = self.now().as_millis() as u64;
-        self.control_seen.store(now, Ordering::Release);
+        self.control_active_at.store(now, Ordering::Release);
     }
 
-    /// Time since the control thread said that it runs.
-    pub fn control_silent_for(&self) -> Duration {
-        let seen = Duration::from_millis(self.control_seen.load(Ordering::Acquire));
+    /// Time since the last call of [`Shared::record_control_activity`].
+    pub fn control_idle_time(&self) -> Duration {
+        let seen = Duration::from_millis(self.control_active_at.load(Ordering::Acquire));
         self.now().saturating_sub(seen)
     }
 
-    /// Time since the start of the router.
+    /// Time since the start of the router, on [`Shared::clock`].
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 }
 
-struct Permits {
-    most: u64,
+struct Semaphore {
+    limit: u64,
     taken: AtomicU64,
 }
 
-/// Some units of a bounded good; given back when dropped.
+/// Units taken from a bounded resource; returned when dropped.
 pub struct Permit<'a> {
     taken: &'a AtomicU64,
     units: u64,
 }
 
-impl Permits {
-    fn new(most: u64) -> Self {
+impl Semaphore {
+    fn new(limit: u64) -> Self {
         Self {
-            most,
+            limit,
             taken: AtomicU64::new(0),
         }
     }
 
-    /// Takes `units`, if `kept` units are left over after that.
-    fn take(&self, units: u64, kept: u64) -> Option<Permit<'_>> {
-        let most = self.most.saturating_sub(kept);
-        let more = |taken: u64| taken.checked_add(units).filter(|taken| *taken <= most);
+    /// Takes `units` if at least `reserved` units remain free afterwards.
+    fn take(&self, units: u64, reserved: u64) -> Option<Permit<'_>> {
+        let limit = self.limit.saturating_sub(reserved);
+        let more = |taken: u64| taken.checked_add(units).filter(|taken| *taken <= limit);
         let taken = self
             .taken
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, more);
--- a/crates/router/src/upstream.rs
+++ b/crates/router/src/upstream.rs
@@ -1,6 +1,6 @@
-//! The way to one server: its admission and its connections.
+//! One upstream server: its admission queue and its connection pool.
 //!
-//! Invariant: every admitted request gives its slot back, whatever happens to the thread.
+//! Invariant: every admitted request releases its slot, even if its thread panics.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,19 +13,19 @@
 };
 
 use crate::clock::Clock;
-use crate::pool::Link;
+use crate::pool::ConnectionPool;
 
-/// Between two looks of a waiting request at whether its shard has moved.
-pub const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which a waiting request checks whether its shard has moved.
+pub const MOVE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 type Decision = Result<(), AdmissionRefusal>;
 
 /// Why a request got no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
-    /// It is answered now.
+pub enum SlotError {
+    /// Admission refused the request.
     Refused(AdmissionRefusal),
-    /// Another server owns its shard by now.
+    /// The shard moved to another ownership during the wait.
     Moved,
 }
 
@@ -39,41 +39,41 @@
     waiters: BTreeMap<Ticket, Waiter>,
 }
 
-/// The way to one server.
-pub struct Gate {
+/// Admission queue and connection pool of one server.
+pub struct Upstream {
     server: ServerName,
-    link: Link,
+    pool: ConnectionPool,
     clock: Clock,
     state: Mutex<State>,
     draining_since: Mutex<Option<Duration>>,
 }
 
-/// How a request that was admitted ended.
+/// How an admitted request used its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
-    /// It took a slot of the server until its end.
-    Taken,
-    /// It never reached the server, or was refused there.
+pub enum SlotUse {
+    /// The request occupied the server until it ended.
+    Occupied,
+    /// The request never reached the server, or was refused there.
     Unused,
-    /// The server has too much to do.
+    /// The server refused the request under overload.
     Shed,
 }
 
-/// A slot of the server; given back by [`Slot::finish`] or when dropped.
+/// A slot of the server; released by [`Slot::finish`] or when dropped.
 pub struct Slot {
-    gate: Arc<Gate>,
-    taken_at: Duration,
-    given_back: bool,
+    upstream: Arc<Upstream>,
+    acquired_at: Duration,
+    released: bool,
 }
 
-impl Gate {
-    /// A gate in front of `server`, warm or cold.
+impl Upstream {
+    /// Creates the state of `server` with room for `waiting` requests; `ramp` is warm or cold.
     pub fn new(server: &Server, waiting: u32, ramp: Ramp, clock: Clock) -> Self {
         let now = clock.now();
-        let admission = Admission::new(config_of(server, waiting), ramp, now);
+        let admission = Admission::new(admission_config(server, waiting), ramp, now);
         Self {
             server: server.name.clone(),
-            link: Link::new(server.address.clone(), server.connections.get()),
+            pool: ConnectionPool::new(server.address.clone(), server.connections.get()),
             clock,
             state: Mutex::new(State {
                 admission,
@@ -83,30 +83,30 @@
         }
     }
 
-    /// Name of the server.
+    /// Server name from the bundle.
     pub fn server(&self) -> &ServerName {
         &self.server
     }
 
-    /// Address of the server.
+    /// Server address from the bundle.
     pub fn address(&self) -> &SocketAddress {
-        self.link.address()
+        self.pool.address()
     }
 
-    /// Connections to the server.
-    pub fn link(&self) -> &Link {
-        &self.link
+    /// Connection pool of the server.
+    pub fn pool(&self) -> &ConnectionPool {
+        &self.pool
     }
 
-    /// Takes over the bounds of a new bundle.
+    /// Applies the limits of a new bundle.
     pub fn configure(&self, server: &Server, waiting: u32) {
         let now = self.clock.now();
         self.lock()
             .admission
-            .configure(config_of(server, waiting), now);
+            .configure(admission_config(server, waiting), now);
     }
 
-    /// Notes whether the server is leaving.
+    /// Sets whether the server is draining; the start of draining is kept on repeated calls.
     pub fn set_draining(&self, draining: bool) {
         let now = self.clock.now();
         let mut since = self
@@ -120,7 +120,7 @@
         };
     }
 
-    /// Time for which the server has been leaving, as this router knows.
+    /// Time since this router saw the server start draining; `None` if it is not draining.
     pub fn draining_for(&self) -> Option<Duration> {
         let since = self
             .draining_since
@@ -129,34 +129,34 @@
         since.map(|since| self.clock.now().saturating_sub(since))
     }
 
-    /// Lets a server that answers again rise slowly.
-    pub fn warm_up(&self) {
+    /// Restarts slow start, for a server that answers again after an ejection.
+    pub fn restart_slow_start(&self) {
         let now = self.clock.now();
         self.lock().admission.set_ramp(Ramp::cold(now));
     }
 
-    /// Requests in flight and waiting.
+    /// Number of requests in flight and number waiting.
     pub fn load(&self) -> (u32, usize) {
         let state = self.lock();
         (state.admission.in_flight(), state.admission.waiting())
     }
 
-    /// Waits for a slot, in the order of priority and deadline, unless `moved` says that the shard has
-    /// another owner: a server that froze frees no slot.
+    /// Waits for a slot, in the order of priority and deadline. Ends the wait if `moved` returns that the
+    /// shard has another owner, because a frozen server frees no slot.
     ///
     /// # Errors
-    /// The reason, as soon as it is known.
-    pub fn enter(
+    /// [`SlotError`], as soon as it is known that the request gets no slot.
+    pub fn acquire_slot(
         self: &Arc<Self>,
         priority: u32,
         deadline: Duration,
         moved: &dyn Fn() -> bool,
-    ) -> Result<Slot, Denied> {
+    ) -> Result<Slot, SlotError> {
         let ticket = {
             let mut state = self.lock();
             match state.admission.offer(self.clock.now(), priority, deadline) {
                 AdmissionDecision::Admitted => return Ok(self.slot()),
-                AdmissionDecision::Refused(refusal) => return Err(Denied::Refused(refusal)),
+                AdmissionDecision::Refused(refusal) => return Err(SlotError::Refused(refusal)),
                 AdmissionDecision::Waiting { ticket, displaced } => {
                     let waiter = Waiter {
                         thread: std::thread::current(),
@@ -178,37 +178,37 @@
         ticket: Ticket,
         deadline: Duration,
         moved: &dyn Fn() -> bool,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), SlotError> {
         loop {
             let moved = moved();
             if let Some(end) = self
                 .lock()
-                .end_of_wait(ticket, deadline, self.clock.now(), moved)
+                .wait_result(ticket, deadline, self.clock.now(), moved)
             {
                 return end;
             }
             let left = deadline.saturating_sub(self.clock.now());
-            std::thread::park_timeout(left.min(LOOK_INTERVAL));
+            std::thread::park_timeout(left.min(MOVE_CHECK_INTERVAL));
         }
     }
 
     fn slot(self: &Arc<Self>) -> Slot {
         Slot {
-            gate: Arc::clone(self),
-            taken_at: self.clock.now(),
-            given_back: false,
+            upstream: Arc::clone(self),
+            acquired_at: self.clock.now(),
+            released: false,
         }
     }
 
-    fn leave(&self, taken_at: Duration, used: Use) {
+    fn release_slot(&self, acquired_at: Duration, slot_use: SlotUse) {
         let now = self.clock.now();
         let mut state = self.lock();
-        if used == Use::Shed {
+        if slot_use == SlotUse::Shed {
             state.admission.shed(now);
         }
-        let events = match used {
-            Use::Taken => state.admission.finish(now, now.saturating_sub(taken_at)),
-            Use::Unused | Use::Shed => state.admission.finish_unused(now),
+        let events = match slot_use {
+            SlotUse::Occupied => state.admission.finish(now, now.saturating_sub(acquired_at)),
+            SlotUse::Unused | SlotUse::Shed => state.admission.finish_unused(now),
         };
         state.apply(events);
     }
@@ -228,14 +228,14 @@
         }
     }
 
-    /// What the waiting request hears now; `None` when it waits on.
-    fn end_of_wait(
+    /// Result of the wait for `ticket`; `None` if it continues.
+    fn wait_result(
         &mut self,
         ticket: Ticket,
         deadline: Duration,
         now: Duration,
         moved: bool,
-    ) -> Option<Result<(), Denied>> {
+    ) -> Option<Result<(), SlotError>> {
         if now >= deadline {
             let events = self.admission.tick(now);
             self.apply(events);
@@ -246,10 +246,10 @@
         }
         self.waiters.remove(&ticket);
         match decision {
-            Some(decision) => Some(decision.map_err(Denied::Refused)),
+            Some(decision) => Some(decision.map_err(SlotError::Refused)),
             None => {
                 self.admission.withdraw(ticket);
-                Some(Err(Denied::Moved))
+                Some(Err(SlotError::Moved))
             }
         }
     }
@@ -263,22 +263,23 @@
 }
 
 impl Slot {
-    /// Gives the slot back.
-    pub fn finish(mut self, used: Use) {
-        self.given_back = true;
-        self.gate.leave(self.taken_at, used);
+    /// Releases the slot and admits waiting requests.
+    pub fn finish(mut self, slot_use: SlotUse) {
+        self.released = true;
+        self.upstream.release_slot(self.acquired_at, slot_use);
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        if !self.given_back {
-            self.gate.leave(self.taken_at, Use::Unused);
+        if !self.released {
+            self.upstream
+                .release_slot(self.acquired_at, SlotUse::Unused);
         }
     }
 }
 
-fn config_of(server: &Server, waiting: u32) -> AdmissionConfig {
+fn admission_config(server: &Server, waiting: u32) -> AdmissionConfig {
     AdmissionConfig {
         slots: server.slots.get().min(server.connections.get()),
         waiting,
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -1,6 +1,6 @@
-//! What traffic threads read: the routing table in force and the way to each server.
+//! Immutable view that request threads read: the current routing table and the upstream servers.
 //!
-//! Invariant: a view never changes; a change makes a new one that shares what stayed.
+//! Invariant: a view never changes; an update creates a new one that shares the unchanged parts.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,9 +12,9 @@
 };
 
 use crate::clock::Clock;
-use crate::upstream::Gate;
+use crate::upstream::Upstream;
 
-/// What a router keeps of one service besides its routing.
+/// Retry budget, ejections and metrics of one service.
 pub struct ServiceState {
     retry: Mutex<RetryBudget>,
     ejection: Mutex<Ejection>,
@@ -31,15 +31,15 @@
         }
     }
 
-    /// Counts a first attempt.
-    pub fn first_attempt(&self) {
+    /// Credits the retry budget with a first attempt.
+    pub fn record_first_attempt(&self) {
         self.retry
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .record_first_attempt();
     }
 
-    /// Takes a retry out of the budget.
+    /// Takes a retry from the budget; false if it is exhausted.
     pub fn take_retry(&self) -> bool {
         self.retry
             .lock()
@@ -47,12 +47,12 @@
             .try_take()
     }
 
-    /// Runs `use_it` on the service's ejections.
-    pub fn ejection<T>(&self, use_it: impl FnOnce(&mut Ejection) -> T) -> T {
-        use_it(&mut self.ejection.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Runs `action` on the service's ejection state while holding its lock.
+    pub fn ejection<T>(&self, action: impl FnOnce(&mut Ejection) -> T) -> T {
+        action(&mut self.ejection.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Whether a server may get a request at `now`.
+    /// Whether a request may be sent to a server at `now`.
     pub fn verdict(&self, server: &ServerName, now: std::time::Duration) -> Verdict {
         self.ejection(|ejection| ejection.verdict(server, now))
     }
@@ -75,55 +75,55 @@
     }
 }
 
-/// The table in force and the way to each server.
+/// The current routing table with the upstream servers that it names.
 #[derive(Clone)]
 pub struct View {
-    /// The table in force.
+    /// The current routing table.
     pub table: RoutingTable,
     services: Arc<BTreeMap<String, Arc<ServiceState>>>,
-    gates: Arc<BTreeMap<ServerName, Arc<Gate>>>,
+    upstreams: Arc<BTreeMap<ServerName, Arc<Upstream>>>,
 }
 
 impl View {
-    /// A view before the first table.
+    /// A view with no services and no servers, before the first snapshot.
     pub fn new(table: RoutingTable) -> Self {
         Self {
             table,
             services: Arc::default(),
-            gates: Arc::default(),
+            upstreams: Arc::default(),
         }
     }
 
-    /// State of a service.
+    /// State of a service; `None` for a name that is not in the table.
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceState>> {
         self.services.get(name)
     }
 
-    /// The way to a server.
-    pub fn gate(&self, server: &ServerName) -> Option<&Arc<Gate>> {
-        self.gates.get(server)
+    /// Admission and connections of a server; `None` for a name that is not in the table.
+    pub fn upstream(&self, server: &ServerName) -> Option<&Arc<Upstream>> {
+        self.upstreams.get(server)
     }
 
-    /// Every way to a server.
-    pub fn gates(&self) -> impl Iterator<Item = &Arc<Gate>> {
-        self.gates.values()
+    /// Admission and connections of all servers.
+    pub fn upstreams(&self) -> impl Iterator<Item = &Arc<Upstream>> {
+        self.upstreams.values()
     }
 
-    /// The view for a table in which only owners changed.
+    /// Creates the view for a table in which only owners changed.
     pub fn with_owners(&self, table: RoutingTable) -> Self {
         Self {
             table,
             services: Arc::clone(&self.services),
-            gates: Arc::clone(&self.gates),
+            upstreams: Arc::clone(&self.upstreams),
         }
     }
 
-    /// The view for a new table. Servers that were not in the table before start cold, except in the
-    /// first table: a router that starts must not slow a running service down.
+    /// Creates the view for a new table. Servers that were not in the table before start cold, except in
+    /// the first table: a starting router must not slow down a running service.
     pub fn with_table(&self, table: RoutingTable, metrics: &RouterMetrics, clock: Clock) -> Self {
-        let first = !self.table.is_ready();
+        let is_first_table = !self.table.is_ready();
         let mut services = BTreeMap::new();
-        let mut gates = BTreeMap::new();
+        let mut upstreams = BTreeMap::new();
         for route in table.services() {
             let name = route.service.name.as_str();
             let state = self.services.get(name).cloned().unwrap_or_else(|| {
@@ -133,36 +133,36 @@
             state.configure(route);
             services.insert(name.to_string(), state);
             for (server, standing) in route.service.servers.iter().zip(&route.standings) {
-                let gate = self.gate_for(server, route, first, clock);
-                gate.set_draining(*standing == ServerStanding::Draining);
-                gates.insert(server.name.clone(), gate);
+                let upstream = self.upstream_for(server, route, is_first_table, clock);
+                upstream.set_draining(*standing == ServerStanding::Draining);
+                upstreams.insert(server.name.clone(), upstream);
             }
         }
         Self {
             table,
             services: Arc::new(services),
-            gates: Arc::new(gates),
+            upstreams: Arc::new(upstreams),
         }
     }
 
-    fn gate_for(
+    fn upstream_for(
         &self,
         server: &Server,
         route: &ServiceRoute,
-        first: bool,
+        is_first_table: bool,
         clock: Clock,
-    ) -> Arc<Gate> {
+    ) -> Arc<Upstream> {
         let waiting = route.service.queue.waiting_per_server;
-        let known = self.gates.get(&server.name);
-        if let Some(gate) = known.filter(|gate| gate.address() == &server.address) {
-            gate.configure(server, waiting);
-            return Arc::clone(gate);
+        let known = self.upstreams.get(&server.name);
+        if let Some(upstream) = known.filter(|upstream| upstream.address() == &server.address) {
+            upstream.configure(server, waiting);
+            return Arc::clone(upstream);
         }
-        let ramp = if first {
+        let ramp = if is_first_table {
             Ramp::warm()
         } else {
             Ramp::cold(clock.now())
         };
-        Arc::new(Gate::new(server, waiting, ramp, clock))
+        Arc::new(Upstream::new(server, waiting, ramp, clock))
     }
 }
--- a/crates/router/tests/admin.rs
+++ b/crates/router/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin address under clients that don't behave.
+//! The admin server with silent clients and more clients than the limit.
 
 mod support;
 
@@ -7,13 +7,13 @@
 
 use support::{ready_router, BackEnd, Caller};
 
-/// Far more than a small pool of threads serves at once, and fewer than the bound.
+/// Far more than a small thread pool serves at once, and fewer than the connection limit.
 const SILENT_CLIENTS: usize = 100;
 
-/// More than the bound.
+/// More than the connection limit.
 const SURPLUS_CLIENTS: usize = 200;
 
-/// What clients send before they fall silent.
+/// Bytes that clients send before they stop sending.
 const STARTS: [&str; 3] = [
     "",
     "GET /li",
@@ -21,8 +21,8 @@
 ];
 
 #[test]
-fn silent_clients_hold_up_no_probe() {
-    let (_control, router) = ready_router(&[BackEnd::nowhere()]);
+fn silent_clients_do_not_delay_a_probe() {
+    let (_control, router) = ready_router(&[BackEnd::unreachable_address()]);
     let connect = || TcpStream::connect(router.admin_address()).expect("connects");
     let silent: Vec<TcpStream> = (0..SILENT_CLIENTS).map(|_| connect()).collect();
     for (number, mut stream) in silent.iter().enumerate() {
@@ -38,14 +38,17 @@
 }
 
 #[test]
-fn a_client_over_the_bound_is_cut_off_at_once() {
-    let (_control, router) = ready_router(&[BackEnd::nowhere()]);
+fn a_client_above_the_limit_is_disconnected_at_once() {
+    let (_control, router) = ready_router(&[BackEnd::unreachable_address()]);
     let connect = || TcpStream::connect(router.admin_address()).expect("connects");
     let clients: Vec<TcpStream> = (0..SURPLUS_CLIENTS).map(|_| connect()).collect();
     let mut last = clients.last().expect("clients");
     let mut byte = [0];
-    last.set_read_timeout(Some(support::patience().idle))
+    last.set_read_timeout(Some(support::generous_limit().idle))
         .expect("a timeout");
-    assert!(matches!(last.read(&mut byte), Ok(0)), "closed, not kept");
+    assert!(
+        matches!(last.read(&mut byte), Ok(0)),
+        "connection is closed"
+    );
     router.stop();
 }
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds towards callers, admission in order, stop, and the table's follower, over real sockets.
+//! Limits on callers, admission order, graceful stop and table following, over real sockets.
 
 mod support;
 
@@ -9,12 +9,12 @@
 use grebepin_schema::{ControlFrame, LogIndex, Redirect, RouterFrame};
 use grebepin_settings::RouterLimits;
 use support::{
-    call, moved, ready_router, router, snapshot, wait_above, Act, BackEnd, Caller, Control,
+    call, moved, ready_router, router, snapshot, wait_above, Action, BackEnd, Caller, Control,
 };
 
 #[test]
-fn requests_that_are_wrong_are_refused_before_they_are_sent() {
-    let back_end = BackEnd::start(|_| Act::Answer(b"never".to_vec()));
+fn invalid_requests_are_rejected_without_being_sent() {
+    let back_end = BackEnd::start(|_| Action::Answer(b"never".to_vec()));
     let (_control, router) = ready_router(&[back_end.address]);
     let key = "Grebepin-Key: k\r\n";
     let many = "X: y\r\n".repeat(100);
@@ -52,13 +52,13 @@
             "{start}"
         );
     }
-    assert!(back_end.seen.try_recv().is_err(), "nothing was sent");
+    assert!(back_end.received.try_recv().is_err(), "nothing was sent");
     router.stop();
 }
 
 #[test]
-fn bodies_in_chunks_and_expectations_are_understood() {
-    let back_end = BackEnd::start(|request| Act::Answer(request.body.clone()));
+fn chunked_bodies_and_100_continue_are_supported() {
+    let back_end = BackEnd::start(|request| Action::Answer(request.body.clone()));
     let (_control, router) = ready_router(&[back_end.address]);
     let mut caller = Caller::connect(router.address());
     let head =
@@ -67,13 +67,13 @@
     caller.send(head.as_bytes());
     caller.send(b"3\r\nabc\r\n5;x=y\r\ndefgh\r\n0\r\nTrailer: left out\r\n\r\n");
     assert_eq!(caller.read("POST").expect("answer").body, b"abcdefgh");
-    // Two requests at once on one connection are answered one after the other.
+    // Pipelined requests on one connection are answered in order.
     let one = "GET /autoriza-venda/look-up HTTP/1.1\r\nGrebepin-Key: k\r\n\r\n";
     caller.send(format!("{one}{one}").as_bytes());
     for _ in 0..2 {
         assert_eq!(caller.read("GET").expect("answer").outcome(), "answered");
     }
-    // HTTP/1.0 and `Connection: close` end the connection with the answer.
+    // An HTTP/1.0 request ends the connection with its answer.
     caller.send(one.replace("1.1", "1.0").as_bytes());
     assert!(!caller.read("GET").expect("answer").head.keep_alive);
     assert!(caller.read("GET").is_none());
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn slow_and_surplus_callers_are_cut_off() {
-    let (control, first) = ready_router(&[BackEnd::nowhere()]);
+fn slow_and_surplus_callers_are_disconnected() {
+    let (control, first) = ready_router(&[BackEnd::unreachable_address()]);
     first.stop();
     let limits = RouterLimits {
         caller_idle: Duration::from_millis(30),
@@ -90,8 +90,8 @@
         ..RouterLimits::default()
     };
     let router = router(&[control.address], limits);
-    // Silent from the start, within the head, within the body: each is cut off, so that one more than
-    // the bound gets in afterwards.
+    // Callers silent from the start, within the head and within the body are disconnected, which frees
+    // their connections for others.
     let starts = [
         "",
         "POST /auto",
@@ -123,15 +123,23 @@
 }
 
 #[test]
-fn a_full_queue_refuses_at_once_and_the_top_class_takes_the_place() {
-    let back_end = BackEnd::start(|_| Act::Hold);
+fn a_full_queue_refuses_at_once_and_a_higher_priority_displaces_a_waiting_request() {
+    let back_end = BackEnd::start(|_| Action::Hold);
     let (_control, router) = ready_router(&[back_end.address]);
     let address = router.address();
-    let gate = || router.shared().view().gates().next().expect("gate").load();
+    let upstream = || {
+        router
+            .shared()
+            .view()
+            .upstreams()
+            .next()
+            .expect("upstream")
+            .load()
+    };
     let running = thread::spawn(move || call(address, "look-up", "running", "1"));
-    back_end.seen.recv().expect("running");
+    back_end.received.recv().expect("running");
     let waiting = thread::spawn(move || call(address, "look-up", "waiting", "1"));
-    while gate().1 == 0 {
+    while upstream().1 == 0 {
         thread::yield_now();
     }
     let refused = call(address, "look-up", "refused", "1");
@@ -145,7 +153,7 @@
         (displaced.outcome(), displaced.kind().as_str()),
         ("not-run", "queue-full")
     );
-    assert_eq!(gate(), (1, 1));
+    assert_eq!(upstream(), (1, 1));
     for caller in [running, urgent] {
         back_end.release.send(()).expect("held");
         assert_eq!(caller.join().expect("answer").outcome(), "answered");
@@ -154,14 +162,14 @@
 }
 
 #[test]
-fn a_planned_stop_cuts_no_request_and_ends_connections_with_an_answer() {
+fn a_planned_stop_answers_all_requests_before_closing_connections() {
     let back_end = BackEnd::start(|request| match request.header("Grebepin-Request-Id") {
-        "running" => Act::Hold,
-        _ => Act::Answer(b"yes".to_vec()),
+        "running" => Action::Hold,
+        _ => Action::Answer(b"yes".to_vec()),
     });
     let first = ControlFrame::Snapshot(snapshot(10, &[back_end.address], Some(0)));
     let control = Control::start(vec![first]);
-    // It leaves for 30 s, or until no connection is open.
+    // Draining lasts a tenth of this, 30 s, or until no connection is open.
     let drain = Duration::from_secs(300);
     let limits = RouterLimits {
         drain,
@@ -179,24 +187,24 @@
     );
     let running = thread::spawn(move || call(address, "approve", "running", "1"));
     while back_end
-        .seen
+        .received
         .recv()
-        .expect("seen")
+        .expect("received")
         .header("Grebepin-Request-Id")
         != "running"
     {}
     let shared = std::sync::Arc::clone(router.shared());
     let stopping = thread::spawn(move || router.stop());
-    while !shared.is_leaving() {
+    while !shared.is_draining() {
         thread::yield_now();
     }
-    // It has one slot, so this request waits for the held one: both are answered, and the connection
-    // ends with the answer.
+    // The server has one slot, so this request waits for the held one. Both are answered, and the
+    // connection is closed with the answer.
     let waiting = thread::spawn(move || {
         let reply = kept.call("/autoriza-venda/look-up", &headers, b"");
         (reply, kept.read("POST").is_none())
     });
-    while shared.view().gates().next().expect("gate").load().1 == 0 {
+    while shared.view().upstreams().next().expect("upstream").load().1 == 0 {
         thread::yield_now();
     }
     back_end.release.send(()).expect("held");
@@ -213,8 +221,11 @@
 }
 
 #[test]
-fn the_table_is_followed_over_replicas_and_never_falls_back() {
-    let servers = [BackEnd::nowhere(), BackEnd::nowhere()];
+fn the_table_is_followed_across_replicas_and_never_replaced_by_an_older_one() {
+    let servers = [
+        BackEnd::unreachable_address(),
+        BackEnd::unreachable_address(),
+    ];
     let leader = Control::start(vec![
         ControlFrame::Snapshot(snapshot(20, &servers, Some(0))),
         ControlFrame::Snapshot(snapshot(15, &servers, Some(1))),
@@ -225,7 +236,7 @@
     let follower = Control::start(vec![ControlFrame::Redirect(Redirect {
         router_address: Some(address),
     })]);
-    let gone = BackEnd::nowhere();
+    let gone = BackEnd::unreachable_address();
     let report = Duration::from_millis(50);
     let limits = RouterLimits {
         report,
@@ -234,9 +245,9 @@
     let router = router(&[gone, follower.address], limits);
     wait_above(&router, 21);
     assert_eq!(router.shared().view().table.bundle_version(), 20);
-    let mut frames = leader.heard.iter();
+    let mut frames = leader.received.iter();
     let Some(RouterFrame::Follow(follow)) = frames.next() else {
-        panic!("follows first")
+        panic!("first frame is not a follow request")
     };
     assert_eq!(
         (follow.have_index, follow.router.as_str()),
@@ -245,22 +256,22 @@
     let in_force = frames.any(
         |frame| matches!(frame, RouterFrame::Report(report) if report.in_force == LogIndex(22)),
     );
-    assert!(in_force, "reports the index in force");
-    // After a gap it asks for the whole table again; after a cut it says what it has.
+    assert!(in_force, "reports the index of the current table");
+    // After a gap the router requests a full snapshot; after a disconnect it sends its current index.
     leader.push(&moved(30, 31, 0));
-    let mut follows = leader.heard.iter().filter_map(|frame| match frame {
+    let mut follows = leader.received.iter().filter_map(|frame| match frame {
         RouterFrame::Follow(follow) => Some(follow.have_index),
         RouterFrame::Report(_) => None,
     });
     assert_eq!(follows.next(), Some(LogIndex(0)));
-    leader.cut();
+    leader.disconnect();
     assert_eq!(follows.next(), Some(LogIndex(22)));
     router.stop();
 }
 
 #[test]
-fn probes_and_metrics_tell_the_state() {
-    let (_control, router) = ready_router(&[BackEnd::nowhere()]);
+fn probes_and_metrics_report_the_state() {
+    let (_control, router) = ready_router(&[BackEnd::unreachable_address()]);
     call(router.address(), "approve", "id-1", "1");
     let get = |path: &str| {
         let mut caller = Caller::connect(router.admin_address());
@@ -281,8 +292,8 @@
         assert!(metrics.contains(line), "{line}\n{metrics}");
     }
     router.stop();
-    // Without a table it is alive and not ready, and says so to callers.
-    let router = support::router(&[BackEnd::nowhere()], RouterLimits::default());
+    // Without a table the router is live but not ready, and rejects requests.
+    let router = support::router(&[BackEnd::unreachable_address()], RouterLimits::default());
     let reply = call(router.address(), "approve", "id-1", "1");
     assert_eq!(
         (reply.outcome(), reply.kind().as_str()),
--- a/crates/router/tests/outcomes.rs
+++ b/crates/router/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes over real sockets, against a back end that follows a script.
+//! Request outcomes over real sockets with a scripted back end.
 
 mod support;
 
@@ -7,16 +7,16 @@
 
 use grebepin_settings::RouterLimits;
 use support::{
-    call, moved, ready_router, router, snapshot, wait_above, Act, BackEnd, Caller, Control,
+    call, moved, ready_router, router, snapshot, wait_above, Action, BackEnd, Caller, Control,
 };
 
 const CANCEL: &str = "/grebepin/v1/cancel";
 
 #[test]
-fn the_whole_answer_comes_back_with_its_identifier() {
+fn the_complete_answer_is_returned_with_its_identifier() {
     let big = vec![b'x'; 1_000_000];
     let answer = big.clone();
-    let back_end = BackEnd::start(move |_| Act::Answer(answer.clone()));
+    let back_end = BackEnd::start(move |_| Action::Answer(answer.clone()));
     let (_control, router) = ready_router(&[back_end.address]);
     let mut caller = Caller::connect(router.address());
     for id in ["first", "second"] {
@@ -29,9 +29,9 @@
         assert_eq!((reply.head.status, reply.outcome()), (200, "answered"));
         assert_eq!(reply.header("Grebepin-Request-Id"), id);
         assert_eq!(reply.header("X-Own"), "kept");
-        assert!(reply.body == big, "whole body");
-        let seen = back_end.seen.recv().expect("seen");
-        assert!(seen.body == big && seen.head.target == "/autoriza-venda/approve/9?x=1");
+        assert!(reply.body == big, "complete body");
+        let received = back_end.received.recv().expect("received");
+        assert!(received.body == big && received.head.target == "/autoriza-venda/approve/9?x=1");
         let expected = [
             ("Grebepin-Service", "autoriza-venda"),
             ("Grebepin-Shard", "0"),
@@ -43,18 +43,18 @@
             ("X-Till", "12"),
         ];
         for (name, value) in expected {
-            assert_eq!(seen.header(name), value, "{name}");
+            assert_eq!(received.header(name), value, "{name}");
         }
-        assert_eq!(seen.connection, 0, "the connection is used again");
+        assert_eq!(received.connection, 0, "the connection is reused");
     }
     assert_eq!(router.stop(), 0);
 }
 
-/// What the back end does to a request and to its cancellation, and what the caller hears.
+/// Reaction of the back end to a request and to its cancellation, and the expected answer to the caller.
 struct Case {
     name: &'static str,
-    act: Act,
-    cancel: Act,
+    action: Action,
+    cancel: Action,
     class: &'static str,
     attempt: &'static str,
     outcome: &'static str,
@@ -63,15 +63,15 @@
 
 fn case(
     name: &'static str,
-    act: Act,
-    cancel: Act,
-    asked: (&'static str, &'static str),
-    told: (&'static str, &'static str),
+    action: Action,
+    cancel: Action,
+    request: (&'static str, &'static str),
+    answered: (&'static str, &'static str),
 ) -> Case {
-    let ((class, attempt), (outcome, kind)) = (asked, told);
+    let ((class, attempt), (outcome, kind)) = (request, answered);
     Case {
         name,
-        act,
+        action,
         cancel,
         class,
         attempt,
@@ -81,66 +81,71 @@
 }
 
 fn cases() -> Vec<Case> {
-    let tombstone = || Act::Json(r#"{"state":"not-run","epoch":10}"#);
-    let crossed =
-        Act::Raw("HTTP/1.1 200 OK\r\nGrebepin-Request-Id: other\r\nContent-Length: 2\r\n\r\nhi");
-    let unnamed = Act::Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
-    let cut = Act::Raw("HTTP/1.1 200 OK\r\nGrebepin-Request-Id: {id}\r\nConnection: close\r\nContent-Length: 9\r\n\r\nhi");
-    let odd = Act::Raw("HTTP/1.1 200 OK\r\nGrebepin-Request-Id: {id}\r\nGrebepin-Refusal: moody\r\nContent-Length: 0\r\n\r\n");
+    let tombstone = || Action::Json(r#"{"state":"not-run","epoch":10}"#);
+    let mismatched =
+        Action::Raw("HTTP/1.1 200 OK\r\nGrebepin-Request-Id: other\r\nContent-Length: 2\r\n\r\nhi");
+    let unidentified = Action::Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
+    let incomplete = Action::Raw("HTTP/1.1 200 OK\r\nGrebepin-Request-Id: {id}\r\nConnection: close\r\nContent-Length: 9\r\n\r\nhi");
+    let unknown_refusal = Action::Raw("HTTP/1.1 200 OK\r\nGrebepin-Request-Id: {id}\r\nGrebepin-Refusal: moody\r\nContent-Length: 0\r\n\r\n");
     let (first, resend, look_up) = (("approve", "1"), ("approve", "2"), ("look-up", "1"));
     let unknown = ("unknown", "outcome-unknown");
     #[rustfmt::skip]
     let cases = vec![
-        case("closed, cancelled", Act::Close, tombstone(), first, ("not-run", "owner-lost")),
-        case("closed, cancellation lost", Act::Close, Act::Close, first, unknown),
-        case("closed, it ran", Act::Close, Act::Json(r#"{"state":"ran","epoch":10}"#), first, unknown),
-        case("closed, other epoch", Act::Close, Act::Json(r#"{"state":"not-run","epoch":9}"#), first, unknown),
-        case("closed, no JSON", Act::Close, Act::Json("nonsense"), first, unknown),
-        case("resend closed, cancelled", Act::Close, tombstone(), resend, ("not-run", "owner-lost")),
-        case("resend closed, cancellation lost", Act::Close, Act::Close, resend, unknown),
-        case("crossed", crossed.clone(), Act::Close, first, unknown),
-        case("crossed, cancelled", crossed, tombstone(), first, ("not-run", "owner-lost")),
-        case("names no request", unnamed, Act::Close, first, unknown),
-        case("odd refusal", odd, Act::Close, first, unknown),
-        case("not whole", cut, Act::Close, look_up, unknown),
-        case("closed each time", Act::Close, Act::Close, look_up, unknown),
-        case("shed", Act::Refuse("shed"), Act::Close, first, ("not-run", "owner-refused")),
-        case("resend shed", Act::Refuse("shed"), Act::Close, resend, ("unknown", "owner-refused")),
-        case("moving", Act::Refuse("releasing"), Act::Close, first, ("not-run", "owner-refused")),
-        case("after a freeze", Act::Refuse("record-incomplete"), Act::Close, resend, unknown),
-        case("runs already", Act::Refuse("already-running"), Act::Close, resend, unknown),
-        case("tombstone", Act::Refuse("cancelled"), Act::Close, resend, ("not-run", "owner-refused")),
-        case("late", Act::Refuse("deadline"), Act::Close, first, ("not-run", "deadline-too-near")),
-        case("answers", Act::Answer(b"yes".to_vec()), Act::Close, resend, ("answered", "")),
+        case("closed, cancelled", Action::Close, tombstone(), first, ("not-run", "owner-lost")),
+        case("closed, cancellation lost", Action::Close, Action::Close, first, unknown),
+        case("closed, request ran", Action::Close, Action::Json(r#"{"state":"ran","epoch":10}"#), first, unknown),
+        case("closed, other epoch", Action::Close, Action::Json(r#"{"state":"not-run","epoch":9}"#), first, unknown),
+        case("closed, no JSON", Action::Close, Action::Json("nonsense"), first, unknown),
+        case("resend closed, cancelled", Action::Close, tombstone(), resend, ("not-run", "owner-lost")),
+        case("resend closed, cancellation lost", Action::Close, Action::Close, resend, unknown),
+        case("mismatched identifier", mismatched.clone(), Action::Close, first, unknown),
+        case("mismatched identifier, cancelled", mismatched, tombstone(), first, ("not-run", "owner-lost")),
+        case("missing identifier", unidentified, Action::Close, first, unknown),
+        case("unknown refusal", unknown_refusal, Action::Close, first, unknown),
+        case("incomplete answer", incomplete, Action::Close, look_up, unknown),
+        case("closed each time", Action::Close, Action::Close, look_up, unknown),
+        case("shed", Action::Refuse("shed"), Action::Close, first, ("not-run", "owner-refused")),
+        case("resend shed", Action::Refuse("shed"), Action::Close, resend, ("unknown", "owner-refused")),
+        case("moving", Action::Refuse("releasing"), Action::Close, first, ("not-run", "owner-refused")),
+        case("after a freeze", Action::Refuse("record-incomplete"), Action::Close, resend, unknown),
+        case("already running", Action::Refuse("already-running"), Action::Close, resend, unknown),
+        case("tombstone", Action::Refuse("cancelled"), Action::Close, resend, ("not-run", "owner-refused")),
+        case("late", Action::Refuse("deadline"), Action::Close, first, ("not-run", "deadline-too-near")),
+        case("answers", Action::Answer(b"yes".to_vec()), Action::Close, resend, ("answered", "")),
     ];
     cases
 }
 
 #[test]
 fn each_failure_gives_its_outcome() {
-    let now = Arc::new(Mutex::new((Act::Close, Act::Close)));
+    let now = Arc::new(Mutex::new((Action::Close, Action::Close)));
     let script = Arc::clone(&now);
     let back_end = BackEnd::start(move |request| {
-        let (act, cancel) = script.lock().expect("lock").clone();
+        let (action, cancel) = script.lock().expect("lock").clone();
         if request.head.target == CANCEL {
             cancel
         } else {
-            act
+            action
         }
     });
     let (_control, router) = ready_router(&[back_end.address]);
     for case in cases() {
-        *now.lock().expect("lock") = (case.act.clone(), case.cancel.clone());
+        *now.lock().expect("lock") = (case.action.clone(), case.cancel.clone());
         let reply = call(router.address(), case.class, "id-1", case.attempt);
-        let told = (reply.outcome(), reply.kind());
-        assert_eq!(told, (case.outcome, case.kind.to_string()), "{}", case.name);
+        let answered = (reply.outcome(), reply.kind());
+        assert_eq!(
+            answered,
+            (case.outcome, case.kind.to_string()),
+            "{}",
+            case.name
+        );
         assert_eq!(reply.header("Grebepin-Request-Id"), "id-1", "{}", case.name);
         if case.outcome != "answered" {
             assert!(!reply.header("Retry-After").is_empty(), "{}", case.name);
         }
-        for seen in back_end.seen.try_iter() {
+        for received in back_end.received.try_iter() {
             assert_eq!(
-                seen.header("Grebepin-Attempt"),
+                received.header("Grebepin-Attempt"),
                 case.attempt,
                 "{}",
                 case.name
@@ -151,8 +156,8 @@
 }
 
 #[test]
-fn a_request_to_nobody_was_not_run() {
-    let (_control, router) = ready_router(&[BackEnd::nowhere()]);
+fn a_request_to_an_unreachable_owner_was_not_run() {
+    let (_control, router) = ready_router(&[BackEnd::unreachable_address()]);
     for (class, attempt, outcome) in [("approve", "1", "not-run"), ("approve", "2", "unknown")] {
         let reply = call(router.address(), class, "id-1", attempt);
         assert_eq!(
@@ -164,12 +169,12 @@
 }
 
 #[test]
-fn a_crossed_answer_ends_the_connection_and_a_look_up_is_asked_again() {
+fn a_mismatched_answer_closes_the_connection_and_a_repeatable_request_is_resent() {
     let number = AtomicU32::new(0);
-    let crossed = "HTTP/1.1 200 OK\r\nGrebepin-Request-Id: other\r\nContent-Length: 2\r\n\r\nhi";
+    let mismatched = "HTTP/1.1 200 OK\r\nGrebepin-Request-Id: other\r\nContent-Length: 2\r\n\r\nhi";
     let back_end = BackEnd::start(move |_| match number.fetch_add(1, Ordering::Relaxed) {
-        0 => Act::Raw(crossed),
-        _ => Act::Answer(b"yes".to_vec()),
+        0 => Action::Raw(mismatched),
+        _ => Action::Answer(b"yes".to_vec()),
     });
     let (_control, router) = ready_router(&[back_end.address]);
     let reply = call(router.address(), "look-up", "id-1", "1");
@@ -178,22 +183,22 @@
         ("answered", b"yes".as_slice())
     );
     let connections: Vec<u32> = back_end
-        .seen
+        .received
         .try_iter()
-        .map(|seen| seen.connection)
+        .map(|received| received.connection)
         .collect();
     assert_eq!(connections, [0, 1]);
     router.stop();
 }
 
 #[test]
-fn bytes_that_come_after_an_answer_are_given_to_nobody() {
+fn bytes_received_after_an_answer_are_discarded() {
     let stray = "HTTP/1.1 200 OK\r\nGrebepin-Request-Id: {id}\r\nContent-Length: 2\r\n\r\nhi\
                  HTTP/1.1 200 OK\r\nGrebepin-Request-Id: id-2\r\nContent-Length: 5\r\n\r\nwrong";
     let number = AtomicU32::new(0);
     let back_end = BackEnd::start(move |_| match number.fetch_add(1, Ordering::Relaxed) {
-        0 => Act::Raw(stray),
-        _ => Act::Answer(b"right".to_vec()),
+        0 => Action::Raw(stray),
+        _ => Action::Answer(b"right".to_vec()),
     });
     let (_control, router) = ready_router(&[back_end.address]);
     assert_eq!(call(router.address(), "approve", "id-1", "1").body, b"hi");
@@ -202,44 +207,44 @@
         b"right"
     );
     let connections: Vec<u32> = back_end
-        .seen
+        .received
         .try_iter()
-        .map(|seen| seen.connection)
+        .map(|received| received.connection)
         .collect();
     assert_eq!(connections, [0, 1]);
     router.stop();
 }
 
 #[test]
-fn a_request_follows_its_shard_to_the_next_owner() {
-    let old = BackEnd::start(|_| Act::Refuse("wrong-epoch"));
-    let new = BackEnd::start(|_| Act::Answer(b"moved".to_vec()));
+fn a_request_follows_its_shard_to_the_new_owner() {
+    let old = BackEnd::start(|_| Action::Refuse("wrong-epoch"));
+    let new = BackEnd::start(|_| Action::Answer(b"moved".to_vec()));
     let first =
         grebepin_schema::ControlFrame::Snapshot(snapshot(10, &[old.address, new.address], Some(0)));
     let control = Control::start(vec![first, moved(10, 11, 1)]);
     let router = router(&[control.address], RouterLimits::default());
     wait_above(&router, 10);
-    // A resend through another router, after the move: the attempt and the new epoch go along.
+    // A resend after the move carries the caller's attempt number and the new epoch.
     let reply = call(router.address(), "approve", "id-1", "2");
     assert_eq!(
         (reply.outcome(), reply.body.as_slice()),
         ("answered", b"moved".as_slice())
     );
-    let seen = new.seen.recv().expect("seen");
+    let received = new.received.recv().expect("received");
     assert_eq!(
         (
-            seen.header("Grebepin-Epoch"),
-            seen.header("Grebepin-Attempt")
+            received.header("Grebepin-Epoch"),
+            received.header("Grebepin-Attempt")
         ),
         ("11", "2")
     );
-    assert!(old.seen.try_recv().is_err());
-    // While a request is refused by the old owner, the change wakes it up.
+    assert!(old.received.try_recv().is_err());
+    // A request refused by the old owner waits and is resent when the table changes.
     control.push(&moved(11, 12, 0));
     wait_above(&router, 11);
     let address = router.address();
     let waiting = std::thread::spawn(move || call(address, "approve", "id-2", "1"));
-    old.seen.recv().expect("refused once");
+    old.received.recv().expect("refused once");
     control.push(&moved(12, 13, 1));
     let reply = waiting.join().expect("answer");
     assert_eq!(
@@ -250,9 +255,9 @@
 }
 
 #[test]
-fn a_frozen_owner_keeps_nobody_once_the_shard_has_moved() {
-    let frozen = BackEnd::start(|_| Act::Silence);
-    let new = BackEnd::start(|_| Act::Answer(b"moved".to_vec()));
+fn a_frozen_owner_blocks_no_request_after_the_shard_has_moved() {
+    let frozen = BackEnd::start(|_| Action::Silence);
+    let new = BackEnd::start(|_| Action::Answer(b"moved".to_vec()));
     let (control, router) = ready_router(&[frozen.address, new.address]);
     let address = router.address();
     let ask = move |class: &'static str| {
@@ -261,14 +266,14 @@
             Caller::connect(address).call(&format!("/autoriza-venda/{class}"), &headers, b"")
         })
     };
-    // One is in flight, one waits for its slot; the deadlines are far off.
+    // One request is in flight and one waits for its slot; both deadlines are far away.
     for (class, index) in [("look-up", 11), ("approve", 13)] {
         let in_flight = ask(class);
-        frozen.seen.recv().expect("sent");
+        frozen.received.recv().expect("sent");
         let waiting = ask("look-up");
         let view = router.shared().view();
-        let gate = view.gates().next().expect("gate");
-        while gate.load().1 == 0 {
+        let upstream = view.upstreams().next().expect("upstream");
+        while upstream.load().1 == 0 {
             std::thread::yield_now();
         }
         control.push(&moved(index - 1, index, 1));
@@ -288,8 +293,8 @@
 }
 
 #[test]
-fn a_silent_owner_costs_no_more_than_the_deadline() {
-    let back_end = BackEnd::start(|_| Act::Silence);
+fn a_silent_owner_delays_a_request_at_most_until_its_deadline() {
+    let back_end = BackEnd::start(|_| Action::Silence);
     let (_control, router) = ready_router(&[back_end.address]);
     for class in ["approve", "look-up"] {
         let headers = [("Grebepin-Key", "k"), ("Grebepin-Deadline-Ms", "150")];
@@ -305,8 +310,8 @@
 }
 
 #[test]
-fn the_outcome_can_be_asked_for() {
-    let back_end = BackEnd::start(|_| Act::Json(r#"{"state":"ran","epoch":10}"#));
+fn the_outcome_of_a_request_can_be_looked_up() {
+    let back_end = BackEnd::start(|_| Action::Json(r#"{"state":"ran","epoch":10}"#));
     let (_control, router) = ready_router(&[back_end.address]);
     let ask = |target: &str| {
         let mut caller = Caller::connect(router.address());
@@ -318,7 +323,7 @@
         (reply.head.status, reply.body.as_slice()),
         (200, br#"{"state":"ran"}"#.as_slice())
     );
-    let asked = back_end.seen.recv().expect("seen").head.target;
+    let asked = back_end.received.recv().expect("received").head.target;
     assert_eq!(
         asked,
         "/grebepin/v1/outcome?service=autoriza-venda&shard=0&request_id=id-1"
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A control replica and a back end that follow a script, and a caller, on loopback.
+//! Scripted control replica and back end, and a caller, on loopback.
 
 #![allow(dead_code)]
 
@@ -20,11 +20,11 @@
 use grebepin_settings::{RouterLimits, RouterSettings};
 use socket2::{Domain, Socket, Type};
 
-/// Shards of the service, so that a key's shard is 0.
+/// Number of shards of the service; with one shard every key belongs to shard 0.
 pub const SHARDS: u32 = 1;
 
-/// Far longer than any step of a test takes.
-pub fn patience() -> TimeLimit {
+/// Time limit far longer than any step of a test takes.
+pub fn generous_limit() -> TimeLimit {
     let idle = Duration::from_secs(30);
     TimeLimit {
         until: Instant::now() + idle,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A table whose only shard belongs to the server at position `owner`.
+/// Snapshot whose only shard belongs to the server at position `owner`.
 pub fn snapshot(index: u64, servers: &[SocketAddr], owner: Option<u32>) -> TableSnapshot {
     let servers: Vec<_> = servers
         .iter()
@@ -72,7 +72,7 @@
     }
 }
 
-/// The shard moves to the server at position `owner`.
+/// Delta that moves the shard to the server at position `owner`.
 pub fn moved(previous: u64, index: u64, owner: u32) -> ControlFrame {
     ControlFrame::Delta(TableDelta {
         group: GroupId(0),
@@ -90,20 +90,20 @@
     })
 }
 
-/// A control replica: hands out what it is given, keeps what it hears.
+/// Control replica that sends given frames and records the received ones.
 pub struct Control {
     pub address: SocketAddr,
     streams: Arc<Mutex<Vec<TcpStream>>>,
-    pub heard: Receiver<RouterFrame>,
+    pub received: Receiver<RouterFrame>,
 }
 
 impl Control {
-    /// Sends `first` to each router that follows.
+    /// Starts a replica that sends `first` to each router after its first frame.
     pub fn start(first: Vec<ControlFrame>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("listens");
         let address = listener.local_addr().expect("address");
         let streams = Arc::new(Mutex::new(Vec::new()));
-        let (sender, heard) = channel();
+        let (sender, received) = channel();
         let kept = Arc::clone(&streams);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -111,9 +111,9 @@
                 let (mut writer, first) = (stream, first.clone());
                 let kept = Arc::clone(&kept);
                 thread::spawn(move || {
-                    let mut greeted = false;
+                    let mut first_sent = false;
                     while let Ok(frame) = read_frame::<RouterFrame>(&mut reader) {
-                        if !std::mem::replace(&mut greeted, true) {
+                        if !std::mem::replace(&mut first_sent, true) {
                             for frame in &first {
                                 write_frame(&mut writer, frame).ok();
                             }
@@ -129,70 +129,70 @@
         Self {
             address,
             streams,
-            heard,
+            received,
         }
     }
 
-    /// Sends a frame to every router.
+    /// Sends a frame to all connected routers.
     pub fn push(&self, frame: &ControlFrame) {
         for stream in self.streams.lock().expect("lock").iter_mut() {
             write_frame(stream, frame).ok();
         }
     }
 
-    /// Breaks every connection.
-    pub fn cut(&self) {
+    /// Closes all connections.
+    pub fn disconnect(&self) {
         for stream in self.streams.lock().expect("lock").drain(..) {
             stream.shutdown(std::net::Shutdown::Both).ok();
         }
     }
 }
 
-/// What a back end does with a request.
+/// Scripted reaction of a back end to a request.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Answers 200 with the body, whole.
+pub enum Action {
+    /// Answers 200 with the complete body.
     Answer(Vec<u8>),
-    /// Answers with these bytes as they are; `{id}` stands for the request's identifier.
+    /// Sends these bytes as they are; `{id}` is replaced by the request identifier.
     Raw(&'static str),
-    /// Answers with a refusal.
+    /// Answers with this value of `Grebepin-Refusal`.
     Refuse(&'static str),
-    /// Answers a JSON body without naming a request, as to a cancellation.
+    /// Answers with a JSON body, as to a cancellation.
     Json(&'static str),
-    /// Closes the connection.
+    /// Closes the connection without an answer.
     Close,
-    /// Waits for a word of the test, then answers 200.
+    /// Waits for [`BackEnd::release`], then answers 200.
     Hold,
     /// Never answers.
     Silence,
 }
 
-/// A request as the back end saw it.
+/// A request as received by the back end.
 #[derive(Clone, Debug)]
-pub struct SeenRequest {
+pub struct ReceivedRequest {
     pub head: RequestHead,
     pub body: Vec<u8>,
     pub connection: u32,
 }
 
-impl SeenRequest {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> &str {
         self.head.headers.text(name).unwrap_or("")
     }
 }
 
-/// A back end that does what its script says.
+/// Back end that reacts to each request as its script returns.
 pub struct BackEnd {
     pub address: SocketAddr,
-    pub seen: Receiver<SeenRequest>,
+    pub received: Receiver<ReceivedRequest>,
     pub release: Sender<()>,
 }
 
 impl BackEnd {
-    pub fn start(script: impl Fn(&SeenRequest) -> Act + Send + Sync + 'static) -> Self {
+    pub fn start(script: impl Fn(&ReceivedRequest) -> Action + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("listens");
         let address = listener.local_addr().expect("address");
-        let (sender, seen) = channel();
+        let (sender, received) = channel();
         let (release, held) = channel();
         let (script, held) = (Arc::new(script), Arc::new(Mutex::new(held)));
         let number = AtomicU32::new(0);
@@ -203,18 +203,18 @@
                     (Arc::clone(&script), Arc::clone(&held), sender.clone());
                 thread::spawn(move || {
                     let mut http = HttpConnection::new(stream).expect("connection");
-                    while let Ok(head) = http.read_request_head(patience()) {
-                        let Ok(body) = http.read_body(head.body, 1 << 26, patience()) else {
+                    while let Ok(head) = http.read_request_head(generous_limit()) {
+                        let Ok(body) = http.read_body(head.body, 1 << 26, generous_limit()) else {
                             return;
                         };
-                        let request = SeenRequest {
+                        let request = ReceivedRequest {
                             head,
                             body,
                             connection,
                         };
-                        let act = script(&request);
+                        let action = script(&request);
                         sender.send(request.clone()).ok();
-                        if !perform(&mut http, &request, &act, &held) {
+                        if !react(&mut http, &request, &action, &held) {
                             return;
                         }
                     }
@@ -223,13 +223,13 @@
         });
         Self {
             address,
-            seen,
+            received,
             release,
         }
     }
 
-    /// An address on which nothing listens, and which nobody else gets: it stays bound.
-    pub fn nowhere() -> SocketAddr {
+    /// Address without a listener. Its socket stays bound, so that no other process gets the port.
+    pub fn unreachable_address() -> SocketAddr {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("socket");
         let any: SocketAddr = "127.0.0.1:0".parse().expect("address");
         socket.bind(&any.into()).expect("binds");
@@ -239,28 +239,28 @@
     }
 }
 
-fn perform(
+fn react(
     http: &mut HttpConnection,
-    request: &SeenRequest,
-    act: &Act,
+    request: &ReceivedRequest,
+    action: &Action,
     held: &Mutex<Receiver<()>>,
 ) -> bool {
     let id = request.header("Grebepin-Request-Id").to_string();
-    let (refusal, body): (Option<&str>, &[u8]) = match act {
-        Act::Answer(body) => (None, body),
-        Act::Refuse(refusal) => (Some(refusal), b""),
-        Act::Json(body) => (None, body.as_bytes()),
-        Act::Raw(text) => {
+    let (refusal, body): (Option<&str>, &[u8]) = match action {
+        Action::Answer(body) => (None, body),
+        Action::Refuse(refusal) => (Some(refusal), b""),
+        Action::Json(body) => (None, body.as_bytes()),
+        Action::Raw(text) => {
             let text = text.replace("{id}", &id);
-            return http.write(text.as_bytes(), patience()).is_ok();
+            return http.write(text.as_bytes(), generous_limit()).is_ok();
         }
-        Act::Close => return false,
-        Act::Hold => {
+        Action::Close => return false,
+        Action::Hold => {
             held.lock().expect("lock").recv().ok();
             (None, b"held")
         }
-        Act::Silence => {
-            http.wait_for_message(patience()).ok();
+        Action::Silence => {
+            http.wait_for_message(generous_limit()).ok();
             return false;
         }
     };
@@ -278,10 +278,10 @@
     );
     bytes.extend_from_slice(b"\r\n");
     bytes.extend_from_slice(body);
-    http.write(&bytes, patience()).is_ok()
+    http.write(&bytes, generous_limit()).is_ok()
 }
 
-/// A router with small bounds that follows the control replicas.
+/// Starts a router that follows the control replicas.
 pub fn router(controls: &[SocketAddr], limits: RouterLimits) -> Router {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("address");
     Router::start(RouterSettings {
@@ -297,7 +297,7 @@
     .expect("router starts")
 }
 
-/// Waits until a table above `index` is in force.
+/// Waits until the router's table has an index above `index`.
 pub fn wait_above(router: &Router, index: u64) {
     router
         .shared()
@@ -305,7 +305,7 @@
     assert!(router.shared().view().table.index() > LogIndex(index));
 }
 
-/// A router with a table at index 10 whose shard the first of `servers` owns.
+/// Router with a table at index 10 in which the first of `servers` owns the shard.
 pub fn ready_router(servers: &[SocketAddr]) -> (Control, Router) {
     let first = ControlFrame::Snapshot(snapshot(10, servers, Some(0)));
     let control = Control::start(vec![first]);
@@ -314,7 +314,7 @@
     (control, router)
 }
 
-/// An answer as a caller saw it.
+/// An answer as received by a caller.
 #[derive(Debug)]
 pub struct Reply {
     pub head: ResponseHead,
@@ -330,14 +330,14 @@
         self.header("Grebepin-Outcome")
     }
 
-    /// Kind of the router's own answer.
+    /// Kind of rejection in the router's own answer; empty for a forwarded answer.
     pub fn kind(&self) -> String {
         let reject: Result<grebepin_schema::Reject, _> = serde_json::from_slice(&self.body);
         reject.map_or(String::new(), |reject| reject.kind.to_string())
     }
 }
 
-/// A caller's connection.
+/// Connection of a caller to the router.
 pub struct Caller(pub HttpConnection);
 
 impl Caller {
@@ -347,13 +347,16 @@
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
-        self.0.write(bytes, patience()).expect("writes");
+        self.0.write(bytes, generous_limit()).expect("writes");
     }
 
-    /// The next answer; `None` when the router closes instead.
+    /// Reads the next answer; `None` if the router closes the connection instead.
     pub fn read(&mut self, method: &str) -> Option<Reply> {
-        let head = self.0.read_response_head(patience(), method).ok()?;
-        let body = self.0.read_body(head.body, 1 << 26, patience()).ok()?;
+        let head = self.0.read_response_head(generous_limit(), method).ok()?;
+        let body = self
+            .0
+            .read_body(head.body, 1 << 26, generous_limit())
+            .ok()?;
         Some(Reply { head, body })
     }
 
@@ -374,7 +377,7 @@
     }
 }
 
-/// One call with a key, an identifier and an attempt.
+/// Sends one request with a key, an identifier and an attempt number on a new connection.
 pub fn call(address: SocketAddr, class: &str, id: &str, attempt: &str) -> Reply {
     let headers = [
         ("Grebepin-Key", "customer-7"),
