--- a/crates/traffic/src/table.rs
+++ b/crates/traffic/src/table.rs
@@ -187,7 +187,7 @@
     /// Applies changes. A delta may be based on an older index than the table's, as it carries final values.
     ///
     /// # Errors
-    /// [`ApplyError`] if earlier changes are missing or the delta does not match; the table is then unchanged.
+    /// [`ApplyError`] if earlier changes are missing or the delta does not match; the table is unchanged.
     pub fn apply_delta(&mut self, delta: &TableDelta) -> Result<ApplyOutcome, ApplyError> {
         self.check_group(delta.group)?;
         if self.is_stale(delta.index) {
--- a/crates/traffic/tests/waits.rs
+++ b/crates/traffic/tests/waits.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_wait_takes_at_most_half_of_the_time_left() {
-    for (left, patience) in [(10_000, 1500), (3000, 1500), (500, 250), (20, 10)] {
+    for (left, max_wait) in [(10_000, 1500), (3000, 1500), (500, 250), (20, 10)] {
         let left = Duration::from_millis(left);
         let spec = RequestSpec {
             deadline: NOW + left,
@@ -49,7 +49,7 @@
         let no_owner = FlowInput::LookedUp(OwnerLookup::NoOwner {
             table_index: LogIndex(5),
         });
-        let until = NOW + Duration::from_millis(patience);
+        let until = NOW + Duration::from_millis(max_wait);
         let newer_than = LogIndex(5);
         assert_eq!(
             flow.step(NOW, no_owner),
