--- a/crates/directory/src/call.rs
+++ b/crates/directory/src/call.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use grebepin_catalog::{InstanceId, ItemChange, ItemKind};
-use grebepin_grants::Beat;
+use grebepin_grants::Heartbeat;
 use serde::{Deserialize, Serialize};
 
 /// A call that any replica takes and the leader answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     /// A server reports itself.
-    Heartbeat(Beat),
+    Heartbeat(Heartbeat),
     /// A server is about to end.
     Leave(InstanceId),
     /// An operator changes items.
--- a/crates/directory/src/daemon/opening.rs
+++ b/crates/directory/src/daemon/opening.rs
@@ -24,10 +24,10 @@
 pub(super) fn open_node(settings: &DirectorySettings) -> Result<Node<RealDisk>, DirectoryError> {
     let leases = Timing {
         lease: settings.lease(),
-        heartbeat: Duration::from_secs_f64(settings.heartbeat_s),
+        heartbeat_interval: Duration::from_secs_f64(settings.heartbeat_s),
         drain_window: settings.drain_window(),
         evacuation_window: settings.evacuation_window(),
-        forget_after: Duration::from_secs_f64(settings.heartbeat_s) * FORGET_AFTER_HEARTBEATS,
+        server_timeout: Duration::from_secs_f64(settings.heartbeat_s) * FORGET_AFTER_HEARTBEATS,
     };
     let config = NodeConfig {
         zone: settings.zone.clone(),
--- a/crates/directory/src/node/leading.rs
+++ b/crates/directory/src/node/leading.rs
@@ -5,7 +5,7 @@
 
 use grebepin_catalog::{Command, Entry, InstanceId, InstanceState, Item, ItemChange, ItemContent};
 use grebepin_consensus::ProposeError;
-use grebepin_grants::{Beat, BeatOutcome, Coordinator, Grant};
+use grebepin_grants::{Coordinator, Grant, Heartbeat, HeartbeatOutcome};
 use grebepin_reactor::encode_frame;
 use grebepin_schema::{LogIndex, Member, ReplicaId, Term};
 use grebepin_storage::Disk;
@@ -131,27 +131,32 @@
         self.outputs.push(output);
     }
 
-    fn take_in_beat(&mut self, now: Duration, id: CallId, beat: Beat) {
+    fn take_in_beat(&mut self, now: Duration, id: CallId, beat: Heartbeat) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        match leadership.coordinator.on_beat(now, &self.catalog, &beat) {
-            BeatOutcome::Stale => self.reply(
+        match leadership
+            .coordinator
+            .on_heartbeat(now, &self.catalog, &beat)
+        {
+            HeartbeatOutcome::Stale => self.reply(
                 id,
                 Reply::Heartbeat {
                     grant: None,
                     endpoint: None,
                 },
             ),
-            BeatOutcome::Fresh(commands) if commands.is_empty() => self.answer_beat(now, id, &beat),
-            BeatOutcome::Fresh(commands) => {
+            HeartbeatOutcome::Fresh(commands) if commands.is_empty() => {
+                self.answer_beat(now, id, &beat)
+            }
+            HeartbeatOutcome::Fresh(commands) => {
                 self.propose_for(now, commands, EntryWaiter::Beat(id, Box::new(beat)));
             }
         }
     }
 
     /// Answers a heartbeat whose commands are applied.
-    pub(super) fn answer_beat(&mut self, now: Duration, id: CallId, beat: &Beat) {
+    pub(super) fn answer_beat(&mut self, now: Duration, id: CallId, beat: &Heartbeat) {
         if !self.leads_surely(now) {
             return self.reply(id, Reply::Unavailable(UnavailableReason::LeaseOver));
         }
--- a/crates/directory/src/node/waiting.rs
+++ b/crates/directory/src/node/waiting.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use grebepin_consensus::ReadId;
-use grebepin_grants::Beat;
+use grebepin_grants::Heartbeat;
 use grebepin_schema::{LogIndex, Term};
 
 use super::messages::CallId;
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum EntryWaiter {
     /// A heartbeat; its grant is worked out afterwards.
-    Beat(CallId, Box<Beat>),
+    Beat(CallId, Box<Heartbeat>),
     /// A server's leave.
     Leave(CallId),
     /// A change of items.
--- a/crates/directory/tests/cluster/mod.rs
+++ b/crates/directory/tests/cluster/mod.rs
@@ -95,10 +95,10 @@
 fn timing() -> NodeTiming {
     NodeTiming::regional(Timing {
         lease: Duration::from_secs(5),
-        heartbeat: Duration::from_millis(1_300),
+        heartbeat_interval: Duration::from_millis(1_300),
         drain_window: Duration::from_secs(1),
         evacuation_window: Duration::from_millis(1_500),
-        forget_after: Duration::from_secs(13),
+        server_timeout: Duration::from_secs(13),
     })
 }
 
--- a/crates/directory/tests/restarted_servers.rs
+++ b/crates/directory/tests/restarted_servers.rs
@@ -8,7 +8,7 @@
 use cluster::{Cluster, Fault};
 use grebepin_catalog::{InstanceId, InstanceState};
 use grebepin_directory::call::Call;
-use grebepin_grants::Beat;
+use grebepin_grants::Heartbeat;
 
 const SEEDS: std::ops::Range<u64> = 0..8;
 
@@ -17,7 +17,7 @@
 }
 
 fn heartbeat(id: &InstanceId, sequence: u64) -> Call {
-    Call::Heartbeat(Beat {
+    Call::Heartbeat(Heartbeat {
         id: id.clone(),
         service: "s".to_owned(),
         address: "10.1.0.1:80".to_owned(),
--- a/crates/gateway/src/stated_rate.rs
+++ b/crates/gateway/src/stated_rate.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::InstanceId;
-use grebepin_grants::{LEAST_STATED_RATE, STATED_RATE_USED};
+use grebepin_grants::{MIN_STATED_RATE, STATED_RATE_FRACTION};
 
 use crate::rate_turns::{RateTurns, TurnLength};
 use crate::statement::RateStatement;
@@ -129,7 +129,7 @@
     /// Mean time between two requests that a server takes, where it states a rate: a place for another caller.
     pub fn place_after(&self, id: &InstanceId) -> Option<Duration> {
         let rate = self.rate(id)?;
-        Some(Duration::from_secs_f64(1.0 / rate.max(LEAST_STATED_RATE)))
+        Some(Duration::from_secs_f64(1.0 / rate.max(MIN_STATED_RATE)))
     }
 
     /// How many servers state a rate.
@@ -157,7 +157,7 @@
 /// Turns of one of `gateways` that share a stated rate. They are open for as long as a sudden crowd at every gateway
 /// stays within what may come in a window.
 fn turn_length(rate: f64, gateways: u32) -> TurnLength {
-    let used = rate.max(LEAST_STATED_RATE) * STATED_RATE_USED;
+    let used = rate.max(MIN_STATED_RATE) * STATED_RATE_FRACTION;
     let allowed = rate * WINDOW_FACTOR * WINDOW.as_secs_f64() + WINDOW_SLACK;
     let seconds = open_of_few(used, allowed, gateways).max(open_of_many(used, allowed));
     let open = Duration::try_from_secs_f64(seconds).unwrap_or_default();
--- a/crates/grants/examples/assignment_cost.rs
+++ b/crates/grants/examples/assignment_cost.rs
@@ -7,14 +7,14 @@
 use grebepin_catalog::{
     Catalog, Command, InstanceId, Item, ItemChange, ItemContent, Service, Version,
 };
-use grebepin_grants::{Beat, BeatOutcome, Coordinator, Timing};
+use grebepin_grants::{Coordinator, Heartbeat, HeartbeatOutcome, Timing};
 
 const SERVICE: &str = "ledger";
 const HEARTBEAT: Duration = Duration::from_millis(1_500);
 const ROUNDS: u64 = 6;
 
-fn beat(number: u32, sequence: u64) -> Beat {
-    Beat {
+fn beat(number: u32, sequence: u64) -> Heartbeat {
+    Heartbeat {
         id: InstanceId::new(&format!("i-{number:05}")),
         service: SERVICE.to_owned(),
         address: format!("10.0.0.1:{number}"),
@@ -50,10 +50,10 @@
     }));
     let timing = Timing {
         lease: Duration::from_millis(3_700),
-        heartbeat: HEARTBEAT,
+        heartbeat_interval: HEARTBEAT,
         drain_window: Duration::from_secs(1),
         evacuation_window: Duration::from_millis(1_500),
-        forget_after: Duration::from_secs(15),
+        server_timeout: Duration::from_secs(15),
     };
     let mut coordinator = Coordinator::new(timing, Duration::ZERO);
     for round in 0..ROUNDS {
@@ -61,7 +61,9 @@
         for number in 0..servers {
             let now = HEARTBEAT * round as u32 + HEARTBEAT * number / servers;
             let beat = beat(number, round + 1);
-            if let BeatOutcome::Fresh(commands) = coordinator.on_beat(now, &catalog, &beat) {
+            if let HeartbeatOutcome::Fresh(commands) =
+                coordinator.on_heartbeat(now, &catalog, &beat)
+            {
                 for command in &commands {
                     catalog.apply(command);
                 }
--- a/crates/grants/src/coordinator/assigning.rs
+++ b/crates/grants/src/coordinator/assigning.rs
@@ -5,7 +5,7 @@
 use grebepin_catalog::{Catalog, Command, Instance, InstanceId, ShardOwnership};
 
 use super::Coordinator;
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 use crate::placement::choose;
 
 /// How long a shard that a command assigns is kept from other servers while it has no owner yet.
@@ -17,7 +17,7 @@
         &mut self,
         now: Duration,
         catalog: &Catalog,
-        beat: &Beat,
+        beat: &Heartbeat,
         commands: &mut Vec<Command>,
     ) {
         let ownership = catalog.ownership(&beat.service);
@@ -42,7 +42,7 @@
         let overdue = self
             .unowned_since
             .get(&beat.service)
-            .is_some_and(|since| now > *since + self.timing.heartbeat / 2);
+            .is_some_and(|since| now > *since + self.timing.heartbeat_interval / 2);
         let room = division.shares.room(ownership, &beat.id);
         let reservations = self.reservations.entry(beat.service.clone()).or_default();
         reservations.expire(now);
@@ -72,7 +72,7 @@
     }
 
     /// Whether a server warms up while others of its service can take shards in its place.
-    fn is_spared(&self, now: Duration, catalog: &Catalog, beat: &Beat) -> bool {
+    fn is_spared(&self, now: Duration, catalog: &Catalog, beat: &Heartbeat) -> bool {
         if beat.warmup_left.is_zero() || catalog.warmup_rate(&beat.service).is_none() {
             return false;
         }
@@ -90,7 +90,7 @@
 
     fn is_settled(&self, now: Duration, service: &str) -> bool {
         let first = self.first_beats.get(service);
-        first.is_some_and(|first| now >= *first + self.timing.settle())
+        first.is_some_and(|first| now >= *first + self.timing.settling_time())
     }
 
     /// Servers of a service that can take shards; those that warm up only while there are no others.
--- a/crates/grants/src/coordinator/ending.rs
+++ b/crates/grants/src/coordinator/ending.rs
@@ -55,7 +55,7 @@
 
     /// Servers whose lease may be over, or that may have ended, by their silence.
     fn silent(&self, now: Duration) -> Vec<InstanceId> {
-        let least = self.timing.lease.min(self.timing.forget_after);
+        let least = self.timing.lease.min(self.timing.server_timeout);
         let silent = self.servers.silent_since(now.saturating_sub(least));
         silent.cloned().collect()
     }
@@ -112,7 +112,7 @@
 
     fn is_forgotten(&self, now: Duration, id: &InstanceId) -> bool {
         let heard = self.servers.get(id).map(|server| server.last_beat);
-        now.saturating_sub(heard.unwrap_or(self.since)) > self.timing.forget_after
+        now.saturating_sub(heard.unwrap_or(self.since)) > self.timing.server_timeout
     }
 }
 
--- a/crates/grants/src/coordinator/ending/tests.rs
+++ b/crates/grants/src/coordinator/ending/tests.rs
@@ -11,10 +11,10 @@
 fn a_new_leader_looks_at_everybody_once_a_second_and_when_earlier_leases_have_ended() {
     let timing = Timing {
         lease: ms(5_200),
-        heartbeat: ms(3_000),
+        heartbeat_interval: ms(3_000),
         drain_window: ms(1_000),
         evacuation_window: ms(1_500),
-        forget_after: ms(13_000),
+        server_timeout: ms(13_000),
     };
     let began = ms(40_000);
     let mut coordinator = Coordinator::new(timing, began);
--- a/crates/grants/src/coordinator/giving.rs
+++ b/crates/grants/src/coordinator/giving.rs
@@ -5,8 +5,8 @@
 use grebepin_catalog::{Catalog, InstanceId};
 
 use super::Coordinator;
-use crate::beat::Beat;
 use crate::division::Division;
+use crate::heartbeat::Heartbeat;
 use crate::shares::runs_of;
 use crate::transfer::{share_out, soonest, Receiver, Urgency, NEAREST};
 
@@ -18,7 +18,7 @@
 
 impl Coordinator {
     /// Plans which shards of a busy server go to others, and leaves them out of its answer.
-    pub(super) fn relieve(&mut self, now: Duration, catalog: &Catalog, beat: &Beat) {
+    pub(super) fn relieve(&mut self, now: Duration, catalog: &Catalog, beat: &Heartbeat) {
         let Some(ownership) = catalog.ownership(&beat.service) else {
             return;
         };
@@ -26,7 +26,7 @@
             return;
         }
         let cooldown = self.load.cooldown(now, &beat.id);
-        if cooldown.is_some_and(|left| left <= self.timing.heartbeat) {
+        if cooldown.is_some_and(|left| left <= self.timing.heartbeat_interval) {
             // It takes requests again before others would serve its shards.
             return;
         }
@@ -78,12 +78,12 @@
         now: Duration,
         catalog: &Catalog,
         division: &Division,
-        beat: &Beat,
+        beat: &Heartbeat,
     ) -> Vec<Receiver> {
         let Some(ownership) = catalog.ownership(&beat.service) else {
             return Vec::new();
         };
-        let heartbeat = self.timing.heartbeat;
+        let heartbeat = self.timing.heartbeat_interval;
         let others_after = |silence: Duration, next: Duration| {
             let heard = self
                 .servers
@@ -117,7 +117,7 @@
         &mut self,
         now: Duration,
         catalog: &Catalog,
-        beat: &Beat,
+        beat: &Heartbeat,
         shards: Vec<usize>,
     ) {
         if shards.is_empty() {
--- a/crates/grants/src/coordinator/mod.rs
+++ b/crates/grants/src/coordinator/mod.rs
@@ -10,8 +10,8 @@
 use grebepin_catalog::{Catalog, Command, FreedShard, InstanceId};
 
 use crate::addresses::Addresses;
-use crate::beat::{Beat, Grant};
 use crate::division::Division;
+use crate::heartbeat::{Grant, Heartbeat};
 use crate::load::{LoadBook, LoadSample};
 use crate::registration::{freed, is_leaving, must_release, registration};
 use crate::rows::{granted_rows, withhold_surplus};
@@ -24,7 +24,7 @@
 
 /// What a heartbeat leads to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum BeatOutcome {
+pub enum HeartbeatOutcome {
     /// It is older than one already seen, or of a server that ended: acknowledge it, grant nothing.
     Stale,
     /// Apply the commands, then ask for the grant.
@@ -74,12 +74,17 @@
     }
 
     /// Takes in a heartbeat.
-    pub fn on_beat(&mut self, now: Duration, catalog: &Catalog, beat: &Beat) -> BeatOutcome {
+    pub fn on_heartbeat(
+        &mut self,
+        now: Duration,
+        catalog: &Catalog,
+        beat: &Heartbeat,
+    ) -> HeartbeatOutcome {
         if catalog.has_ended(&beat.id) {
-            return BeatOutcome::Stale;
+            return HeartbeatOutcome::Stale;
         }
         if !self.servers.note_beat(now, beat) {
-            return BeatOutcome::Stale;
+            return HeartbeatOutcome::Stale;
         }
         if !self.first_beats.contains_key(&beat.service) {
             self.first_beats.insert(beat.service.clone(), now);
@@ -92,13 +97,13 @@
                 self.assign(now, catalog, beat, &mut commands);
             }
         }
-        BeatOutcome::Fresh(commands)
+        HeartbeatOutcome::Fresh(commands)
     }
 
     /// What the server of a heartbeat is to hold, once the commands it led to are applied; `None`
     /// for a server of a service that is not sharded. Call it only inside the leader's own lease,
     /// and send the answer at once.
-    pub fn grant(&mut self, now: Duration, catalog: &Catalog, beat: &Beat) -> Option<Grant> {
+    pub fn grant(&mut self, now: Duration, catalog: &Catalog, beat: &Heartbeat) -> Option<Grant> {
         // It may have ended while the commands of its heartbeat were on their way.
         if !catalog.is_sharded(&beat.service) || catalog.has_ended(&beat.id) {
             return None;
@@ -160,7 +165,7 @@
         &mut self,
         now: Duration,
         catalog: &Catalog,
-        beat: &Beat,
+        beat: &Heartbeat,
         commands: &mut Vec<Command>,
     ) {
         let Some(ownership) = catalog.ownership(&beat.service) else {
--- a/crates/grants/src/beat.rs
+++ b/crates/grants/src/heartbeat.rs
@@ -7,7 +7,7 @@
 
 /// Keys that a server reports to hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldRow {
+pub struct HeldRange {
     /// First key.
     pub from: u32,
     /// Last key, inclusive.
@@ -18,7 +18,7 @@
 
 /// Keys that a server released since its last acknowledged heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FreedRow {
+pub struct ReleasedRange {
     /// First key.
     pub from: u32,
     /// Last key, inclusive.
@@ -29,7 +29,7 @@
 
 /// One heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The server.
     pub id: InstanceId,
     /// Service it serves.
@@ -48,23 +48,23 @@
     /// Rises with each heartbeat of the server.
     pub sequence: u64,
     /// Keys it holds or still works on.
-    pub holds: Vec<HeldRow>,
+    pub holds: Vec<HeldRange>,
     /// Keys it released.
-    pub freed: Vec<FreedRow>,
+    pub freed: Vec<ReleasedRange>,
 }
 
-impl Beat {
+impl Heartbeat {
     /// Fence under which the server reports to hold a shard; `None` when it holds no key of it.
     pub fn fence_of(&self, shard: usize) -> Option<u64> {
         let (first, last) = keys_of(shard);
-        let overlaps = |row: &&HeldRow| row.from <= last && first <= row.to;
+        let overlaps = |row: &&HeldRange| row.from <= last && first <= row.to;
         self.holds.iter().find(overlaps).map(|row| row.fence)
     }
 
     /// Handover of a shard that the server released whole; empty without one.
     pub fn handover_of(&self, shard: usize) -> String {
         let (first, last) = keys_of(shard);
-        let covers = |row: &&FreedRow| row.from <= first && last <= row.to;
+        let covers = |row: &&ReleasedRange| row.from <= first && last <= row.to;
         let row = self.freed.iter().find(covers);
         row.map(|row| row.handover.clone()).unwrap_or_default()
     }
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -9,9 +9,9 @@
 //! the replicated state go out as [`Command`](grebepin_catalog::Command)s, and an answer is worked out only after these are applied.
 
 mod addresses;
-mod beat;
 mod coordinator;
 mod division;
+mod heartbeat;
 mod load;
 mod permits;
 mod placement;
@@ -24,8 +24,8 @@
 mod timing;
 mod transfer;
 
-pub use beat::{Beat, FreedRow, Grant, HeldRow};
-pub use coordinator::{BeatOutcome, Coordinator};
+pub use coordinator::{Coordinator, HeartbeatOutcome};
+pub use heartbeat::{Grant, Heartbeat, HeldRange, ReleasedRange};
 pub use load::{LoadSample, LoadSum, ServerSample};
-pub use permits::{Permit, Permits, LEAST_STATED_RATE, STATED_RATE_USED};
+pub use permits::{Permit, Permits, MIN_STATED_RATE, STATED_RATE_FRACTION};
 pub use timing::Timing;
--- a/crates/grants/src/permits.rs
+++ b/crates/grants/src/permits.rs
@@ -1,7 +1,7 @@
 //! Permits to send a request to a server that states how many it takes: the leader gives them out one by one, so that
 //! all gateways together keep to the rate and use it, however many they are and wherever the requests come.
 //!
-//! Invariant: in any time `t` no more than `STATED_RATE_USED * rate * t` permits and one burst are given for a server, also right
+//! Invariant: in any time `t` no more than `STATED_RATE_FRACTION * rate * t` permits and one burst are given for a server, also right
 //! after a leader began, which knows nothing of those given before.
 
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Part of a stated rate that is given out; the rest is for gateways that were not told of it yet.
-pub const STATED_RATE_USED: f64 = 0.9;
+pub const STATED_RATE_FRACTION: f64 = 0.9;
 
 /// Permits that may be given at once after a quiet while, and time whose permits may be given besides: places that a few
 /// moments without a request would lose are used by the next.
@@ -20,7 +20,7 @@
 
 /// Least rate that is reckoned with, in requests a second: a server that states none at all is asked now and then
 /// whether it still does.
-pub const LEAST_STATED_RATE: f64 = 0.1;
+pub const MIN_STATED_RATE: f64 = 0.1;
 
 /// Longest time that a gateway is told to wait before it asks again.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
@@ -59,7 +59,7 @@
 impl Permits {
     /// A gateway that was told of a rate, in requests a second, asks to send one request.
     pub fn take(&mut self, now: Duration, server: &InstanceId, stated_rate: f64) -> Permit {
-        let rate = stated_rate.max(LEAST_STATED_RATE) * STATED_RATE_USED;
+        let rate = stated_rate.max(MIN_STATED_RATE) * STATED_RATE_FRACTION;
         if !self.buckets.contains_key(server) {
             self.make_room(now);
         }
--- a/crates/grants/src/registration.rs
+++ b/crates/grants/src/registration.rs
@@ -3,13 +3,13 @@
 use grebepin_catalog::{Catalog, Command, FreedShard, Instance, InstanceState, ShardOwnership};
 
 use crate::addresses::Addresses;
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 
 /// Commands that take in the server and end earlier ones at its address.
 pub(crate) fn registration(
     catalog: &Catalog,
     addresses: &mut Addresses,
-    beat: &Beat,
+    beat: &Heartbeat,
 ) -> Vec<Command> {
     let state = match beat.draining {
         true => InstanceState::Draining,
@@ -50,12 +50,12 @@
 }
 
 /// Whether a server drains or has ended.
-pub(crate) fn is_leaving(catalog: &Catalog, beat: &Beat) -> bool {
+pub(crate) fn is_leaving(catalog: &Catalog, beat: &Heartbeat) -> bool {
     let known = catalog.instance(&beat.id);
     beat.draining || known.is_some_and(|instance| instance.state != InstanceState::Ready)
 }
 
 /// Whether a server must give its shards away: it leaves, or its zone is evacuated.
-pub(crate) fn must_release(catalog: &Catalog, beat: &Beat) -> bool {
+pub(crate) fn must_release(catalog: &Catalog, beat: &Heartbeat) -> bool {
     is_leaving(catalog, beat) || catalog.evacuated_zones().contains(&beat.zone)
 }
--- a/crates/grants/src/rows.rs
+++ b/crates/grants/src/rows.rs
@@ -2,7 +2,7 @@
 
 use grebepin_catalog::{InstanceId, KeyRow, ShardOwnership, KEYS_PER_SHARD};
 
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 use crate::placement::MAXIMUM_ROWS;
 use crate::server::Server;
 
@@ -15,7 +15,7 @@
 pub(crate) fn granted_rows(
     ownership: &ShardOwnership,
     server: &Server,
-    beat: &Beat,
+    beat: &Heartbeat,
 ) -> Vec<KeyRow> {
     let granted = ownership
         .owned_by(&beat.id)
--- a/crates/grants/src/servers.rs
+++ b/crates/grants/src/servers.rs
@@ -9,7 +9,7 @@
 
 use grebepin_catalog::InstanceId;
 
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 use crate::server::Server;
 
 /// The servers, and when each was last heard.
@@ -38,7 +38,7 @@
     }
 
     /// Notes a heartbeat; whether it is newer than all of its server so far.
-    pub(crate) fn note_beat(&mut self, now: Duration, beat: &Beat) -> bool {
+    pub(crate) fn note_beat(&mut self, now: Duration, beat: &Heartbeat) -> bool {
         let server = self.known.entry(beat.id.clone());
         let server = server.or_insert_with(|| Server::new(now));
         if beat.sequence <= server.sequence && server.sequence > 0 {
--- a/crates/grants/src/servers/tests.rs
+++ b/crates/grants/src/servers/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 use super::Servers;
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 use crate::transfer::soonest;
 
 const SERVICE: &str = "s";
@@ -14,8 +14,8 @@
     Duration::from_millis(number)
 }
 
-fn beat(number: u64, sequence: u64) -> Beat {
-    Beat {
+fn beat(number: u64, sequence: u64) -> Heartbeat {
+    Heartbeat {
         id: InstanceId::new(&format!("i-{number:05}")),
         service: SERVICE.to_owned(),
         address: format!("10.0.0.1:{number}"),
--- a/crates/grants/src/timing.rs
+++ b/crates/grants/src/timing.rs
@@ -18,13 +18,13 @@
     /// group, so that a new leader can bound the leases that others gave.
     pub lease: Duration,
     /// Time between two heartbeats of one server.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time over which a draining server gives its shards back.
     pub drain_window: Duration,
     /// Time over which the servers of an evacuated zone give their shards back.
     pub evacuation_window: Duration,
     /// Silence after which a server without a lease counts as ended.
-    pub forget_after: Duration,
+    pub server_timeout: Duration,
 }
 
 impl Timing {
@@ -34,8 +34,8 @@
     }
 
     /// Time that servers get to show up before a service's first shards are divided.
-    pub fn settle(&self) -> Duration {
-        self.heartbeat * 3 / 2
+    pub fn settling_time(&self) -> Duration {
+        self.heartbeat_interval * 3 / 2
     }
 
     /// Time after which no answer of an earlier leader is taken any more.
@@ -45,6 +45,6 @@
 
     /// Silence within which a server counts as able to take shards.
     pub(crate) fn recent(&self) -> Duration {
-        self.heartbeat * 5 / 2
+        self.heartbeat_interval * 5 / 2
     }
 }
--- a/crates/grants/tests/division/mod.rs
+++ b/crates/grants/tests/division/mod.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::{Catalog, Command, InstanceId};
-use grebepin_grants::{Beat, BeatOutcome, Coordinator, Timing};
+use grebepin_grants::{Coordinator, Heartbeat, HeartbeatOutcome, Timing};
 
 use super::support::{self, sharded_service, SERVICE};
 
@@ -14,10 +14,10 @@
 pub fn timing() -> Timing {
     Timing {
         lease: ms(5_000),
-        heartbeat: ms(1_000),
+        heartbeat_interval: ms(1_000),
         drain_window: ms(1_000),
         evacuation_window: ms(1_500),
-        forget_after: ms(10_000),
+        server_timeout: ms(10_000),
     }
 }
 
@@ -29,14 +29,14 @@
     InstanceId::new(&format!("i-{number}"))
 }
 
-pub fn beat(number: usize, sequence: u64) -> Beat {
+pub fn beat(number: usize, sequence: u64) -> Heartbeat {
     support::beat(&id(number), number as u64, sequence)
 }
 
-pub fn commands(outcome: BeatOutcome) -> Vec<Command> {
+pub fn commands(outcome: HeartbeatOutcome) -> Vec<Command> {
     match outcome {
-        BeatOutcome::Fresh(commands) => commands,
-        BeatOutcome::Stale => Vec::new(),
+        HeartbeatOutcome::Fresh(commands) => commands,
+        HeartbeatOutcome::Stale => Vec::new(),
     }
 }
 
@@ -55,10 +55,10 @@
     let mut all = Vec::new();
     let at = |number: usize| match together {
         true => now,
-        false => now + timing().heartbeat * number as u32 / (2 * count as u32),
+        false => now + timing().heartbeat_interval * number as u32 / (2 * count as u32),
     };
     for number in 0..count {
-        let outcome = coordinator.on_beat(at(number), catalog, &beat(number, sequence));
+        let outcome = coordinator.on_heartbeat(at(number), catalog, &beat(number, sequence));
         let one = commands(outcome);
         if !together {
             one.iter().for_each(|command| _ = catalog.apply(command));
--- a/crates/grants/tests/model/mod.rs
+++ b/crates/grants/tests/model/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::{Catalog, Command, InstanceId, SHARDS};
-use grebepin_grants::{Beat, BeatOutcome, Coordinator, Grant, LoadSample, ServerSample};
+use grebepin_grants::{Coordinator, Grant, Heartbeat, HeartbeatOutcome, LoadSample, ServerSample};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use server::ModelServer;
@@ -134,7 +134,7 @@
 
 #[derive(Debug)]
 enum Message {
-    Heartbeat(Beat),
+    Heartbeat(Heartbeat),
     Answer {
         to: InstanceId,
         sent: Duration,
@@ -301,16 +301,16 @@
         }
     }
 
-    fn take_heartbeat(&mut self, beat: &Beat) {
+    fn take_heartbeat(&mut self, beat: &Heartbeat) {
         let to_earlier = self.earlier_leader.is_some() && self.random.random::<f64>() < 0.5;
         let leader = match (&mut self.earlier_leader, to_earlier) {
             (Some(earlier), true) => earlier,
             _ => &mut self.leader,
         };
-        let outcome = leader.on_beat(self.now, &self.catalog, beat);
+        let outcome = leader.on_heartbeat(self.now, &self.catalog, beat);
         let grant = match outcome {
-            BeatOutcome::Stale => None,
-            BeatOutcome::Fresh(commands) => {
+            HeartbeatOutcome::Stale => None,
+            HeartbeatOutcome::Fresh(commands) => {
                 for command in &commands {
                     self.catalog.apply(command);
                 }
--- a/crates/grants/tests/model/server.rs
+++ b/crates/grants/tests/model/server.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::{InstanceId, KEYS_PER_SHARD};
-use grebepin_grants::{Beat, FreedRow, Grant, HeldRow};
+use grebepin_grants::{Grant, Heartbeat, HeldRange, ReleasedRange};
 
 use crate::support::{self, timing};
 
@@ -113,7 +113,7 @@
         }
     }
 
-    pub fn heartbeat(&mut self, now: Duration) -> Option<Beat> {
+    pub fn heartbeat(&mut self, now: Duration) -> Option<Heartbeat> {
         if now < self.next_beat {
             return None;
         }
@@ -121,7 +121,7 @@
             self.leaves_at = Some(now + DRAIN);
         }
         let pause = match self.releasing.is_empty() {
-            true => timing().heartbeat,
+            true => timing().heartbeat_interval,
             false => HURRY,
         };
         self.next_beat = now + pause;
@@ -132,7 +132,7 @@
             .releasing
             .iter()
             .map(|(shard, (fence, _))| (*shard, *fence));
-        Some(Beat {
+        Some(Heartbeat {
             draining: self.draining,
             holds: held.chain(releasing).map(held_row).collect(),
             freed: self.freed.iter().map(|shard| freed_row(*shard)).collect(),
@@ -189,15 +189,15 @@
     wanted
 }
 
-fn held_row((shard, fence): (usize, u64)) -> HeldRow {
+fn held_row((shard, fence): (usize, u64)) -> HeldRange {
     let from = shard as u32 * KEYS_PER_SHARD;
     let to = from + KEYS_PER_SHARD - 1;
-    HeldRow { from, to, fence }
+    HeldRange { from, to, fence }
 }
 
-fn freed_row(shard: usize) -> FreedRow {
+fn freed_row(shard: usize) -> ReleasedRange {
     let from = shard as u32 * KEYS_PER_SHARD;
     let to = from + KEYS_PER_SHARD - 1;
     let handover = "warm".to_owned();
-    FreedRow { from, to, handover }
+    ReleasedRange { from, to, handover }
 }
--- a/crates/grants/tests/placement.rs
+++ b/crates/grants/tests/placement.rs
@@ -8,7 +8,7 @@
 
 use division::{beat, catalog, commands, divided, id, ms, owned, owned_shards, round, timing};
 use grebepin_catalog::{Catalog, Command, Instance, InstanceState, SHARDS};
-use grebepin_grants::{Beat, Coordinator, LoadSample, ServerSample};
+use grebepin_grants::{Coordinator, Heartbeat, LoadSample, ServerSample};
 use support::SERVICE;
 
 #[test]
@@ -118,7 +118,7 @@
         report(&mut coordinator, &catalog, ms(second * 1_000 - 500));
     }
     let mut at = |number: usize, sequence: u64, delay: u64| {
-        let outcome = coordinator.on_beat(now + ms(delay), &catalog, &beat(number, sequence));
+        let outcome = coordinator.on_heartbeat(now + ms(delay), &catalog, &beat(number, sequence));
         for command in commands(outcome) {
             catalog.apply(&command);
         }
@@ -171,17 +171,17 @@
 }
 
 /// A heartbeat of a server in a zone, which reports what the catalog says it owns unless it is told otherwise.
-fn zoned_beat(number: usize, sequence: u64, held: &[(u16, u64)]) -> Beat {
+fn zoned_beat(number: usize, sequence: u64, held: &[(u16, u64)]) -> Heartbeat {
     let zone = match number % 3 {
         0 => "east",
         1 => "west",
         _ => "north",
     };
-    Beat {
+    Heartbeat {
         zone: zone.to_owned(),
         holds: held
             .iter()
-            .map(|(shard, fence)| grebepin_grants::HeldRow {
+            .map(|(shard, fence)| grebepin_grants::HeldRange {
                 from: u32::from(*shard) * 16,
                 to: u32::from(*shard) * 16 + 15,
                 fence: *fence,
@@ -211,7 +211,7 @@
     }
 
     fn empty(count: usize) -> Self {
-        let spread = |number| timing().heartbeat * number as u32 / count as u32;
+        let spread = |number| timing().heartbeat_interval * number as u32 / count as u32;
         Self {
             coordinator: Coordinator::new(timing(), ms(0)),
             catalog: catalog(),
@@ -232,7 +232,7 @@
                 }
                 let mut beat = zoned_beat(number, self.sequence, &self.held[number]);
                 beat.warmup_left = self.warmup_left;
-                for command in commands(self.coordinator.on_beat(now, &self.catalog, &beat)) {
+                for command in commands(self.coordinator.on_heartbeat(now, &self.catalog, &beat)) {
                     self.catalog.apply(&command);
                 }
                 let grant = self.coordinator.grant(now, &self.catalog, &beat);
@@ -244,7 +244,7 @@
                 let releases = self.held[number].iter().any(|one| !held.contains(one));
                 let pause = match releases {
                     true => ms(100),
-                    false => timing().heartbeat,
+                    false => timing().heartbeat_interval,
                 };
                 self.next_beats[number] = now + pause;
                 self.held[number] = held;
@@ -309,7 +309,7 @@
     fleet.run(ms(8_000), ms(12_000));
     fleet.set_evacuation("east", false);
     // All report that they warm up, but only the zone's own servers own nothing yet.
-    let cold = Beat {
+    let cold = Heartbeat {
         warmup_left: ms(3_000),
         ..zoned_beat(0, fleet.sequence + 1, &[])
     };
@@ -327,11 +327,19 @@
     };
     fleet.catalog.apply(&free);
     fleet.coordinator.tick(ms(12_100), &fleet.catalog);
-    let taken = commands(fleet.coordinator.on_beat(ms(12_900), &fleet.catalog, &cold));
+    let taken = commands(
+        fleet
+            .coordinator
+            .on_heartbeat(ms(12_900), &fleet.catalog, &cold),
+    );
     let assigns = |command: &Command| matches!(command, Command::AssignShards { .. });
     assert!(!taken.iter().any(assigns), "a cold server took shards");
     let warm = zoned_beat(4, fleet.sequence + 1, &fleet.held[4]);
-    let taken = commands(fleet.coordinator.on_beat(ms(13_000), &fleet.catalog, &warm));
+    let taken = commands(
+        fleet
+            .coordinator
+            .on_heartbeat(ms(13_000), &fleet.catalog, &warm),
+    );
     assert!(taken.iter().any(assigns), "a warm one takes them");
 }
 
--- a/crates/grants/tests/relief.rs
+++ b/crates/grants/tests/relief.rs
@@ -136,7 +136,7 @@
         for number in 0..4_usize {
             let at = now + ms(20) * number as u32;
             let beat = beat(number, sequence);
-            let all = commands(coordinator.on_beat(at, &catalog, &beat));
+            let all = commands(coordinator.on_heartbeat(at, &catalog, &beat));
             all.iter().for_each(|command| _ = catalog.apply(command));
             coordinator.grant(at, &catalog, &beat);
         }
--- a/crates/grants/tests/restarts.rs
+++ b/crates/grants/tests/restarts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::{Catalog, Command, InstanceId, InstanceState};
-use grebepin_grants::{Beat, BeatOutcome, Coordinator, Grant};
+use grebepin_grants::{Coordinator, Grant, Heartbeat, HeartbeatOutcome};
 use proptest::prelude::*;
 use support::{sharded_service, timing, SERVICE};
 
@@ -20,7 +20,7 @@
     InstanceId::started_at(NAME, started_ms)
 }
 
-fn beat(id: &InstanceId, sequence: u64) -> Beat {
+fn beat(id: &InstanceId, sequence: u64) -> Heartbeat {
     support::beat(id, 1, sequence)
 }
 
@@ -39,9 +39,9 @@
     }
 
     /// Takes in a heartbeat; `None` when it is stale.
-    fn hear(&mut self, now: Duration, beat: &Beat) -> Option<Option<Grant>> {
-        let outcome = self.coordinator.on_beat(now, &self.catalog, beat);
-        let BeatOutcome::Fresh(commands) = outcome else {
+    fn hear(&mut self, now: Duration, beat: &Heartbeat) -> Option<Option<Grant>> {
+        let outcome = self.coordinator.on_heartbeat(now, &self.catalog, beat);
+        let HeartbeatOutcome::Fresh(commands) = outcome else {
             return None;
         };
         self.apply(&commands);
@@ -127,8 +127,8 @@
     let late = timing().lease_end(now) + ms(2);
     let outcome = leader
         .coordinator
-        .on_beat(late, &leader.catalog, &beat(&life(10), 9));
-    let BeatOutcome::Fresh(commands) = outcome else {
+        .on_heartbeat(late, &leader.catalog, &beat(&life(10), 9));
+    let HeartbeatOutcome::Fresh(commands) = outcome else {
         panic!("the life is not known to have ended");
     };
     let assigns = commands
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use grebepin_catalog::{
     Catalog, Command, InstanceId, Item, ItemChange, ItemContent, Service, Version,
 };
-use grebepin_grants::{Beat, Timing};
+use grebepin_grants::{Heartbeat, Timing};
 
 /// Name of the service.
 pub const SERVICE: &str = "ledger";
@@ -31,8 +31,8 @@
 }
 
 /// A heartbeat of a server with two slots that holds nothing; `host` makes its address its own.
-pub fn beat(id: &InstanceId, host: u64, sequence: u64) -> Beat {
-    Beat {
+pub fn beat(id: &InstanceId, host: u64, sequence: u64) -> Heartbeat {
+    Heartbeat {
         id: id.clone(),
         service: SERVICE.to_owned(),
         address: format!("10.0.0.{host}:80"),
@@ -51,9 +51,9 @@
 pub fn timing() -> Timing {
     Timing {
         lease: Duration::from_secs(4),
-        heartbeat: Duration::from_millis(1_300),
+        heartbeat_interval: Duration::from_millis(1_300),
         drain_window: Duration::from_millis(1_000),
         evacuation_window: Duration::from_millis(1_500),
-        forget_after: Duration::from_secs(13),
+        server_timeout: Duration::from_secs(13),
     }
 }
