--- a/crates/grants/src/coordinator/mod.rs
+++ b/crates/grants/src/coordinator/mod.rs
@@ -1,8 +1,8 @@
 //! One leader's time: heartbeats in, commands and grants out.
 
-mod assigning;
-mod ending;
-mod giving;
+mod assignment;
+mod expiry;
+mod rebalancing;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
