--- a/crates/grants/examples/assignment_cost.rs
+++ b/crates/grants/examples/assignment_cost.rs
@@ -1,4 +1,5 @@
-//! What the leader's work for the first heartbeats of a service costs: so many servers register and take shards.
+//! Measures the leader's work for the first heartbeats of a service, in which the given number of
+//! servers register and take shards.
 //!
 //! `cargo run --release -p grebepin-grants --example assignment_cost -- 484`
 
@@ -13,7 +14,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(1_500);
 const ROUNDS: u64 = 6;
 
-fn beat(number: u32, sequence: u64) -> Heartbeat {
+fn heartbeat(number: u32, sequence: u64) -> Heartbeat {
     Heartbeat {
         id: InstanceId::new(&format!("i-{number:05}")),
         service: SERVICE.to_owned(),
@@ -60,15 +61,15 @@
         let began = Instant::now();
         for number in 0..servers {
             let now = HEARTBEAT * round as u32 + HEARTBEAT * number / servers;
-            let beat = beat(number, round + 1);
+            let heartbeat = heartbeat(number, round + 1);
             if let HeartbeatOutcome::Fresh(commands) =
-                coordinator.on_heartbeat(now, &catalog, &beat)
+                coordinator.on_heartbeat(now, &catalog, &heartbeat)
             {
                 for command in &commands {
                     catalog.apply(command);
                 }
             }
-            coordinator.grant(now, &catalog, &beat);
+            coordinator.grant(now, &catalog, &heartbeat);
         }
         let each = began.elapsed().as_secs_f64() * 1e6 / f64::from(servers);
         let unowned = catalog
--- a/crates/grants/src/addresses/tests.rs
+++ b/crates/grants/src/addresses/tests.rs
@@ -16,34 +16,34 @@
 
 fn register(
     catalog: &mut Catalog,
-    addresses: &mut Addresses,
+    addresses: &mut AddressIndex,
     instance: Instance,
 ) -> Vec<InstanceId> {
     let replaced = addresses.live_at(catalog, &instance.address);
-    addresses.note(&instance.address, &instance.id);
+    addresses.record(&instance.address, &instance.id);
     catalog.apply(&Command::Register(instance));
     replaced
 }
 
 #[test]
-fn newcomers_cost_work_that_grows_with_their_number_and_not_its_square() {
-    let work = |newcomers: u32| {
-        let (mut catalog, mut addresses) = (Catalog::default(), Addresses::default());
-        for number in 0..newcomers {
+fn registration_takes_time_linear_in_the_number_of_servers() {
+    let work = |new_servers: u32| {
+        let (mut catalog, mut addresses) = (Catalog::default(), AddressIndex::default());
+        for number in 0..new_servers {
             let address = format!("10.0.{}.{}:80", number / 250, number % 250);
             let replaced = register(&mut catalog, &mut addresses, instance(number, &address));
             assert_eq!(replaced, []);
         }
-        addresses.looked_at()
+        addresses.visited()
     };
-    for newcomers in [500, 1_000, 2_000] {
-        assert!(work(newcomers) <= u64::from(newcomers));
+    for new_servers in [500, 1_000, 2_000] {
+        assert!(work(new_servers) <= u64::from(new_servers));
     }
 }
 
 #[test]
-fn the_server_before_at_an_address_is_found_whoever_registered_it() {
-    let (mut catalog, mut addresses) = (Catalog::default(), Addresses::default());
+fn earlier_servers_at_an_address_are_found_whichever_leader_registered_them() {
+    let (mut catalog, mut addresses) = (Catalog::default(), AddressIndex::default());
     catalog.apply(&Command::Register(instance(1, "10.0.0.1:80")));
     let replaced = register(&mut catalog, &mut addresses, instance(2, "10.0.0.1:80"));
     assert_eq!(replaced, [InstanceId::new("i-1")]);
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn servers_that_ended_or_were_never_committed_are_not_named() {
-    let (mut catalog, mut addresses) = (Catalog::default(), Addresses::default());
-    addresses.note("10.0.0.1:80", &InstanceId::new("i-1"));
+fn servers_that_are_gone_or_were_never_committed_are_not_returned() {
+    let (mut catalog, mut addresses) = (Catalog::default(), AddressIndex::default());
+    addresses.record("10.0.0.1:80", &InstanceId::new("i-1"));
     assert_eq!(addresses.live_at(&catalog, "10.0.0.1:80"), []);
     register(&mut catalog, &mut addresses, instance(2, "10.0.0.1:80"));
     catalog.apply(&Command::SetState {
--- a/crates/grants/src/coordinator/assignment.rs
+++ b/crates/grants/src/coordinator/assignment.rs
@@ -1,4 +1,4 @@
-//! Which shards without an owner the server of a heartbeat takes.
+//! Assignment of shards without an owner to the server that sent a heartbeat.
 
 use std::time::Duration;
 
@@ -6,94 +6,105 @@
 
 use super::Coordinator;
 use crate::heartbeat::Heartbeat;
-use crate::placement::choose;
+use crate::placement::choose_shards;
 
-/// How long a shard that a command assigns is kept from other servers while it has no owner yet.
-const PROMISE_LIFETIME: Duration = Duration::from_millis(1_000);
+/// How long a shard stays reserved after a command that assigns it was issued and isn't committed yet.
+const PENDING_ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Coordinator {
-    /// Lets the server take shards that nobody holds.
+    /// Assigns shards that no server holds to the server that sent the heartbeat.
     pub(super) fn assign(
         &mut self,
         now: Duration,
         catalog: &Catalog,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         commands: &mut Vec<Command>,
     ) {
-        let ownership = catalog.ownership(&beat.service);
-        if ownership.is_none() && !self.is_settled(now, &beat.service) {
+        let ownership = catalog.ownership(&heartbeat.service);
+        if ownership.is_none() && !self.is_settled(now, &heartbeat.service) {
             return;
         }
-        let nothing_yet;
+        let no_ownership;
         let ownership = match ownership {
             Some(ownership) => ownership,
             None => {
-                nothing_yet = ShardOwnership::default();
-                &nothing_yet
+                no_ownership = ShardOwnership::default();
+                &no_ownership
             }
         };
-        if ownership.unowned().is_empty() || self.is_spared(now, catalog, beat) {
+        if ownership.unowned().is_empty() || self.defers_to_warm_servers(now, catalog, heartbeat) {
             return;
         }
-        self.divide(now, catalog, &beat.service);
-        let Some(division) = self.divisions.get(&beat.service) else {
+        self.refresh_division(now, catalog, &heartbeat.service);
+        let Some(division) = self.divisions.get(&heartbeat.service) else {
             return;
         };
         let overdue = self
             .unowned_since
-            .get(&beat.service)
+            .get(&heartbeat.service)
             .is_some_and(|since| now > *since + self.timing.heartbeat_interval / 2);
-        let room = division.shares.room(ownership, &beat.id);
-        let reservations = self.reservations.entry(beat.service.clone()).or_default();
+        let headroom = division.shares.headroom(ownership, &heartbeat.id);
+        let reservations = self
+            .reservations
+            .entry(heartbeat.service.clone())
+            .or_default();
         reservations.expire(now);
         let mut shards = Vec::new();
         let mut free = Vec::new();
         for shard in ownership.unowned().iter().map(|shard| usize::from(*shard)) {
             match reservations.receiver(shard) {
-                Some(receiver) if *receiver == beat.id => shards.push(shard),
+                Some(receiver) if *receiver == heartbeat.id => shards.push(shard),
                 Some(_) => {}
                 None => free.push(shard),
             }
         }
-        if room > 0.0 || overdue {
-            let demand = division.demand(ownership, &beat.id, room, overdue);
-            shards.extend(choose(demand, &free, |shard| division.shares.weight(shard)));
+        if headroom > 0.0 || overdue {
+            let request = division.assignment_request(ownership, &heartbeat.id, headroom, overdue);
+            shards.extend(choose_shards(request, &free, |shard| {
+                division.shares.weight(shard)
+            }));
         }
         if shards.is_empty() {
             return;
         }
-        // Others leave them alone until the command is committed.
-        reservations.reserve(&shards, &beat.id, now + PROMISE_LIFETIME);
+        // Keeps the shards from being assigned to other servers until the command is committed.
+        reservations.reserve(&shards, &heartbeat.id, now + PENDING_ASSIGNMENT_TIMEOUT);
         commands.push(Command::AssignShards {
-            service: beat.service.clone(),
-            id: beat.id.clone(),
+            service: heartbeat.service.clone(),
+            id: heartbeat.id.clone(),
             shards: shards.into_iter().map(|shard| shard as u16).collect(),
         });
     }
 
-    /// Whether a server warms up while others of its service can take shards in its place.
-    fn is_spared(&self, now: Duration, catalog: &Catalog, beat: &Heartbeat) -> bool {
-        if beat.warmup_left.is_zero() || catalog.warmup_rate(&beat.service).is_none() {
+    /// Whether a server is warming up while other servers of its service can take shards.
+    fn defers_to_warm_servers(
+        &self,
+        now: Duration,
+        catalog: &Catalog,
+        heartbeat: &Heartbeat,
+    ) -> bool {
+        if heartbeat.warmup_left.is_zero() || catalog.warmup_rate(&heartbeat.service).is_none() {
             return false;
         }
-        let is_able = |one: &Instance| one.service == beat.service && !one.is_cold;
+        let is_able = |one: &Instance| one.service == heartbeat.service && !one.is_cold;
         let mut others = catalog.instances();
-        others.any(|one| is_able(one) && catalog.is_usable(one) && self.is_recent(now, one))
+        others.any(|one| is_able(one) && catalog.is_usable(one) && self.is_responsive(now, one))
     }
 
-    /// Whether a server was heard lately enough to take shards.
-    fn is_recent(&self, now: Duration, instance: &Instance) -> bool {
-        let heard = self.servers.get(&instance.id);
-        let heard = heard.map_or(self.since, |server| server.last_beat);
-        now.saturating_sub(heard) <= self.timing.recent()
+    /// Whether a server's last heartbeat is recent enough to assign shards to it.
+    fn is_responsive(&self, now: Duration, instance: &Instance) -> bool {
+        let server = self.servers.get(&instance.id);
+        let last_heartbeat = server.map_or(self.leader_since, |server| server.last_heartbeat);
+        now.saturating_sub(last_heartbeat) <= self.timing.max_silence()
     }
 
     fn is_settled(&self, now: Duration, service: &str) -> bool {
-        let first = self.first_beats.get(service);
+        let first = self.first_heartbeats.get(service);
         first.is_some_and(|first| now >= *first + self.timing.settling_time())
     }
 
-    /// Servers of a service that can take shards; those that warm up only while there are no others.
+    /// Servers of a service that can take shards. Servers that are warming up are included only when
+    /// there are no others.
     pub(super) fn eligible<'a>(
         &self,
         now: Duration,
@@ -104,7 +115,7 @@
             .instances()
             .filter(|instance| instance.service == service)
             .filter(|instance| catalog.is_usable(instance))
-            .filter(|instance| self.is_recent(now, instance))
+            .filter(|instance| self.is_responsive(now, instance))
             .collect();
         let all_cold = able.iter().all(|instance| instance.is_cold);
         able.into_iter()
@@ -113,7 +124,7 @@
             .collect()
     }
 
-    pub(super) fn note_unowned(
+    pub(super) fn record_unowned(
         &mut self,
         now: Duration,
         service: &str,
--- a/crates/grants/src/coordinator/expiry.rs
+++ b/crates/grants/src/coordinator/expiry.rs
@@ -1,38 +1,40 @@
-//! What silence ends: leases, and servers that are heard no more.
+//! Expiry of leases, and removal of servers that stopped sending heartbeats.
 
 use std::time::Duration;
 
 use grebepin_catalog::{Catalog, Command, InstanceId, InstanceState, ShardOwnership};
 
-use super::{Coordinator, LOOK_EVERY};
-use crate::registration::freed;
+use super::{Coordinator, FULL_SCAN_INTERVAL};
+use crate::registration::freed_shard;
 
 impl Coordinator {
-    /// Commands that the passing of time asks for: shards of leases that ran out, servers that ended.
+    /// Commands that are due at `now`: freeing shards whose lease expired, and marking servers as
+    /// draining or gone.
     pub fn tick(&mut self, now: Duration, catalog: &Catalog) -> Vec<Command> {
         for (service, ownership) in catalog.all_ownership() {
-            self.note_unowned(now, service, ownership);
+            self.record_unowned(now, service, ownership);
         }
-        let silent = match self.looks_at_all(now) {
+        let silent = match self.is_full_scan_due(now) {
             true => {
-                self.next_look = now + LOOK_EVERY;
+                self.next_full_scan = now + FULL_SCAN_INTERVAL;
                 self.earlier_leases_end = self.earlier_leases_end.filter(|end| now <= *end);
                 self.load.retain(|id| catalog.is_live(id));
-                everybody(catalog)
+                all_servers(catalog)
             }
             false => self.silent(now),
         };
-        let mut commands = self.note_leaving(catalog);
+        let mut commands = self.drain_leaving_servers(catalog);
         for id in silent {
-            self.end_lease(now, catalog, &id, &mut commands);
-            self.end_server(now, catalog, &id, &mut commands);
+            self.expire_lease(now, catalog, &id, &mut commands);
+            self.expire_server(now, catalog, &id, &mut commands);
         }
         commands
     }
 
-    /// Takes over that servers leave which told gateways so: one that is cut off from the directory, or never says that it
-    /// drains, is otherwise found out by its silence.
-    fn note_leaving(&mut self, catalog: &Catalog) -> Vec<Command> {
+    /// Commands that mark servers as draining which gateways report as leaving. Without them a server
+    /// that can't reach the directory, or never reports that it drains, would be detected only by its
+    /// silence.
+    fn drain_leaving_servers(&mut self, catalog: &Catalog) -> Vec<Command> {
         let is_ready = |id: &InstanceId| {
             let instance = catalog.instance(id);
             instance.is_some_and(|one| one.state == InstanceState::Ready)
@@ -47,21 +49,22 @@
             .collect()
     }
 
-    /// Whether every server is looked at now. Those that this leader never heard stand in no order: their leases
-    /// end together, at a time that is known from the start, and nothing is found out about them before it.
-    fn looks_at_all(&self, now: Duration) -> bool {
-        now >= self.next_look || self.earlier_leases_end.is_some_and(|end| now > end)
+    /// Whether all servers are checked at `now`. Servers that sent this leader no heartbeat aren't in
+    /// the index; their leases end together at a time that is known from the start, and none of them can
+    /// expire before it.
+    fn is_full_scan_due(&self, now: Duration) -> bool {
+        now >= self.next_full_scan || self.earlier_leases_end.is_some_and(|end| now > end)
     }
 
-    /// Servers whose lease may be over, or that may have ended, by their silence.
+    /// Servers whose silence is long enough for their lease to have expired or for them to be gone.
     fn silent(&self, now: Duration) -> Vec<InstanceId> {
         let least = self.timing.lease.min(self.timing.server_timeout);
         let silent = self.servers.silent_since(now.saturating_sub(least));
         silent.cloned().collect()
     }
 
-    /// Frees the shards of a server whose lease is over.
-    fn end_lease(
+    /// Frees the shards of a server whose lease expired.
+    fn expire_lease(
         &mut self,
         now: Duration,
         catalog: &Catalog,
@@ -81,14 +84,14 @@
                 service: service.clone(),
                 id: id.clone(),
                 shards: shards
-                    .map(|shard| freed(ownership, shard, String::new()))
+                    .map(|shard| freed_shard(ownership, shard, String::new()))
                     .collect(),
             });
         }
     }
 
-    /// Notes that a server ended that was silent for long.
-    fn end_server(
+    /// Marks a server as gone after a long silence.
+    fn expire_server(
         &mut self,
         now: Duration,
         catalog: &Catalog,
@@ -96,7 +99,7 @@
         commands: &mut Vec<Command>,
     ) {
         if catalog.is_live(id) {
-            if self.is_forgotten(now, id) {
+            if self.is_timed_out(now, id) {
                 commands.push(Command::SetState {
                     id: id.clone(),
                     state: InstanceState::Gone,
@@ -106,19 +109,19 @@
         }
         let owns = |(_, ownership): (&String, &ShardOwnership)| ownership.count_of(id) > 0;
         if !catalog.all_ownership().any(owns) {
-            self.servers.drop_from_order(id);
+            self.servers.remove_from_order(id);
         }
     }
 
-    fn is_forgotten(&self, now: Duration, id: &InstanceId) -> bool {
-        let heard = self.servers.get(id).map(|server| server.last_beat);
-        now.saturating_sub(heard.unwrap_or(self.since)) > self.timing.server_timeout
+    fn is_timed_out(&self, now: Duration, id: &InstanceId) -> bool {
+        let last_heartbeat = self.servers.get(id).map(|server| server.last_heartbeat);
+        now.saturating_sub(last_heartbeat.unwrap_or(self.leader_since)) > self.timing.server_timeout
     }
 }
 
-/// Every server that is known or owns shards: one that ended is forgotten after many others, whatever it
-/// owns.
-fn everybody(catalog: &Catalog) -> Vec<InstanceId> {
+/// All servers that are registered or own shards. A server that is gone is dropped from the registered
+/// ones after many others, even while it owns shards.
+fn all_servers(catalog: &Catalog) -> Vec<InstanceId> {
     let known = catalog.instances().map(|instance| &instance.id);
     let owners = catalog.all_ownership();
     let owners = owners.flat_map(|(_, ownership)| ownership.owners().map(|(id, _)| id));
--- a/crates/grants/src/coordinator/mod.rs
+++ b/crates/grants/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! One leader's time: heartbeats in, commands and grants out.
+//! State of one leader, from heartbeats to commands and grants.
 
 mod assignment;
 mod expiry;
@@ -9,110 +9,119 @@
 
 use grebepin_catalog::{Catalog, Command, FreedShard, InstanceId};
 
-use crate::addresses::Addresses;
+use crate::addresses::AddressIndex;
 use crate::division::Division;
 use crate::heartbeat::{Grant, Heartbeat};
-use crate::load::{LoadBook, LoadSample};
-use crate::registration::{freed, is_leaving, must_release, registration};
+use crate::load::{LoadSample, LoadTracker};
+use crate::registration::{freed_shard, is_leaving, must_release, registration_commands};
 use crate::rows::{granted_rows, withhold_surplus};
 use crate::servers::Servers;
 use crate::timing::Timing;
 use crate::transfer::Reservations;
 
-/// Time between two looks for servers of which nothing need be known any more.
-const LOOK_EVERY: Duration = Duration::from_millis(1_000);
+/// Interval between checks of all servers.
+const FULL_SCAN_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What a heartbeat leads to.
+/// Result of a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// It is older than one already seen, or of a server that ended: acknowledge it, grant nothing.
+    /// The heartbeat is older than one already received, or its server is gone. It is to be acknowledged
+    /// without a grant.
     Stale,
-    /// Apply the commands, then ask for the grant.
+    /// Commands to apply before the grant is requested.
     Fresh(Vec<Command>),
 }
 
-/// Keeps the leases of one leader's time.
+/// Manages the leases while one replica leads.
 #[derive(Debug)]
 pub struct Coordinator {
     timing: Timing,
-    since: Duration,
+    leader_since: Duration,
     servers: Servers,
-    addresses: Addresses,
-    /// When the first heartbeat for a service came.
-    first_beats: BTreeMap<String, Duration>,
-    /// Since when some shard of a service has had no owner.
+    addresses: AddressIndex,
+    /// Time of the first heartbeat for each service.
+    first_heartbeats: BTreeMap<String, Duration>,
+    /// Time since which some shard of a service has had no owner.
     unowned_since: BTreeMap<String, Duration>,
-    load: LoadBook,
-    /// Servers that told gateways that they leave, until the state says so.
+    load: LoadTracker,
+    /// Servers that gateways report as leaving, until the replicated state has them as draining.
     reported_leaving: BTreeSet<InstanceId>,
-    next_look: Duration,
-    /// When every lease that an earlier leader gave has ended; `None` once servers were looked at after it.
+    next_full_scan: Duration,
+    /// When all leases granted by earlier leaders have expired; `None` after the first check of all
+    /// servers past that time.
     earlier_leases_end: Option<Duration>,
-    /// Shards that are kept for servers, by service.
+    /// Shards that are reserved for servers, by service.
     reservations: BTreeMap<String, Reservations>,
-    /// How each service's load should be divided, as of the last look.
+    /// Latest target distribution of each service's load.
     divisions: BTreeMap<String, Division>,
 }
 
 impl Coordinator {
-    /// A leader whose time began at `since`, in which nobody else leads.
-    pub fn new(timing: Timing, since: Duration) -> Self {
+    /// Coordinator of a leader that has led since `leader_since`, with no other leader since then.
+    pub fn new(timing: Timing, leader_since: Duration) -> Self {
         Self {
             timing,
-            since,
+            leader_since,
             servers: Servers::default(),
-            addresses: Addresses::default(),
-            first_beats: BTreeMap::new(),
+            addresses: AddressIndex::default(),
+            first_heartbeats: BTreeMap::new(),
             unowned_since: BTreeMap::new(),
-            load: LoadBook::default(),
+            load: LoadTracker::default(),
             reported_leaving: BTreeSet::new(),
-            next_look: since + LOOK_EVERY,
-            earlier_leases_end: Some(timing.lease_end(since)),
+            next_full_scan: leader_since + FULL_SCAN_INTERVAL,
+            earlier_leases_end: Some(timing.lease_end(leader_since)),
             reservations: BTreeMap::new(),
             divisions: BTreeMap::new(),
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Processes a heartbeat: registers the server, frees the shards that it released, and assigns shards to
+    /// it. Nothing is granted until [`Self::grant`] is called.
     pub fn on_heartbeat(
         &mut self,
         now: Duration,
         catalog: &Catalog,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
-        if catalog.has_ended(&beat.id) {
+        if catalog.has_ended(&heartbeat.id) {
             return HeartbeatOutcome::Stale;
         }
-        if !self.servers.note_beat(now, beat) {
+        if !self.servers.record_heartbeat(now, heartbeat) {
             return HeartbeatOutcome::Stale;
         }
-        if !self.first_beats.contains_key(&beat.service) {
-            self.first_beats.insert(beat.service.clone(), now);
+        if !self.first_heartbeats.contains_key(&heartbeat.service) {
+            self.first_heartbeats.insert(heartbeat.service.clone(), now);
         }
-        let mut commands = registration(catalog, &mut self.addresses, beat);
-        if catalog.is_sharded(&beat.service) {
-            self.release(now, catalog, beat, &mut commands);
-            if !must_release(catalog, beat) {
-                self.relieve(now, catalog, beat);
-                self.assign(now, catalog, beat, &mut commands);
+        let mut commands = registration_commands(catalog, &mut self.addresses, heartbeat);
+        if catalog.is_sharded(&heartbeat.service) {
+            self.release(now, catalog, heartbeat, &mut commands);
+            if !must_release(catalog, heartbeat) {
+                self.rebalance(now, catalog, heartbeat);
+                self.assign(now, catalog, heartbeat, &mut commands);
             }
         }
         HeartbeatOutcome::Fresh(commands)
     }
 
-    /// What the server of a heartbeat is to hold, once the commands it led to are applied; `None`
-    /// for a server of a service that is not sharded. Call it only inside the leader's own lease,
-    /// and send the answer at once.
-    pub fn grant(&mut self, now: Duration, catalog: &Catalog, beat: &Heartbeat) -> Option<Grant> {
-        // It may have ended while the commands of its heartbeat were on their way.
-        if !catalog.is_sharded(&beat.service) || catalog.has_ended(&beat.id) {
+    /// Grant for the server that sent a heartbeat, once the commands of that heartbeat are applied;
+    /// `None` for a server of a service that isn't sharded or for one that is gone. Must be called only
+    /// within the leader's own lease, and the response must be sent at once.
+    pub fn grant(
+        &mut self,
+        now: Duration,
+        catalog: &Catalog,
+        heartbeat: &Heartbeat,
+    ) -> Option<Grant> {
+        // The server may have been marked as gone while the commands of its heartbeat were being
+        // committed.
+        if !catalog.is_sharded(&heartbeat.service) || catalog.has_ended(&heartbeat.id) {
             return None;
         }
-        let server = self.servers.get_mut(&beat.id)?;
-        let rows = match catalog.ownership(&beat.service) {
+        let server = self.servers.get_mut(&heartbeat.id)?;
+        let rows = match catalog.ownership(&heartbeat.service) {
             Some(ownership) => {
-                withhold_surplus(ownership, server, beat.sequence, &beat.id);
-                granted_rows(ownership, server, beat)
+                withhold_surplus(ownership, server, heartbeat.sequence, &heartbeat.id);
+                granted_rows(ownership, server, heartbeat)
             }
             None => Vec::new(),
         };
@@ -123,17 +132,17 @@
         })
     }
 
-    /// Takes in what a gateway saw of load.
+    /// Processes a load report of a gateway.
     pub fn on_load(&mut self, now: Duration, catalog: &Catalog, sample: &LoadSample) {
         let slots = |id: &InstanceId| catalog.instance(id).map(|instance| instance.slots);
-        self.load.note(now, sample, slots);
+        self.load.record(now, sample, slots);
         let leaving = sample.servers.iter().filter(|server| server.is_leaving);
         self.reported_leaving
             .extend(leaving.map(|server| server.id.clone()));
     }
 
-    /// Works out how a service's load should be divided, unless that was done lately.
-    fn divide(&mut self, now: Duration, catalog: &Catalog, service: &str) {
+    /// Computes the target distribution of a service's load unless a recent one is cached.
+    fn refresh_division(&mut self, now: Duration, catalog: &Catalog, service: &str) {
         let division = self.divisions.get(service);
         if division.is_some_and(|division| division.is_fresh(now)) {
             return;
@@ -144,50 +153,53 @@
         self.divisions.insert(service.to_owned(), division);
     }
 
-    /// When the lease of a server has certainly ended, whoever gave it.
+    /// Latest time at which the lease of a server can end, whichever leader granted it.
     pub fn lease_end(&self, id: &InstanceId) -> Duration {
-        let given_before = self.timing.lease_end(self.since);
+        let given_before = self.timing.lease_end(self.leader_since);
         let given_here = self.servers.get(id).map(|server| server.lease_end);
         given_before.max(given_here.unwrap_or_default())
     }
 
-    /// Leaves shards out of every grant from now on: they are let go, or about to be freed.
+    /// Omits shards from all further grants to a server because they are being released or freed.
     fn withhold(&mut self, now: Duration, id: &InstanceId, shards: impl Iterator<Item = usize>) {
-        let server = self.servers.get_or_silent(id, now);
+        let server = self.servers.get_or_insert(id, now);
         let sequence = server.sequence;
         for shard in shards {
             server.releasing.entry(shard).or_insert(sequence);
         }
     }
 
-    /// Frees shards that the server provably holds no longer, and tells a draining one to release more.
+    /// Frees shards that the server has confirmed as released, and withholds more from a server that
+    /// must give up its shards.
     fn release(
         &mut self,
         now: Duration,
         catalog: &Catalog,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         commands: &mut Vec<Command>,
     ) {
-        let Some(ownership) = catalog.ownership(&beat.service) else {
+        let Some(ownership) = catalog.ownership(&heartbeat.service) else {
             return;
         };
-        let Some(server) = self.servers.get_mut(&beat.id) else {
+        let Some(server) = self.servers.get_mut(&heartbeat.id) else {
             return;
         };
-        let owned: BTreeSet<usize> = ownership.owned_by(&beat.id).collect();
+        let owned: BTreeSet<usize> = ownership.owned_by(&heartbeat.id).collect();
         server.releasing.retain(|shard, _| owned.contains(shard));
-        let old_answers_over = now >= self.since + self.timing.answer_lifetime();
+        let old_responses_expired = now >= self.leader_since + self.timing.response_lifetime();
         let released: Vec<FreedShard> = server
             .releasing
             .iter()
-            .filter(|(shard, told_at)| {
-                old_answers_over && beat.sequence > **told_at && beat.fence_of(**shard).is_none()
+            .filter(|(shard, first_withheld)| {
+                old_responses_expired
+                    && heartbeat.sequence > **first_withheld
+                    && heartbeat.fence_of(**shard).is_none()
             })
-            .map(|(shard, _)| freed(ownership, *shard, beat.handover_of(*shard)))
+            .map(|(shard, _)| freed_shard(ownership, *shard, heartbeat.handover_of(*shard)))
             .collect();
         let mut leaving: Vec<usize> = Vec::new();
-        if must_release(catalog, beat) {
-            let window = match is_leaving(catalog, beat) {
+        if must_release(catalog, heartbeat) {
+            let window = match is_leaving(catalog, heartbeat) {
                 true => self.timing.drain_window,
                 false => self.timing.evacuation_window,
             };
@@ -206,11 +218,11 @@
         }
         if !released.is_empty() {
             commands.push(Command::FreeShards {
-                service: beat.service.clone(),
-                id: beat.id.clone(),
+                service: heartbeat.service.clone(),
+                id: heartbeat.id.clone(),
                 shards: released,
             });
         }
-        self.empty(now, catalog, beat, leaving);
+        self.move_away(now, catalog, heartbeat, leaving);
     }
 }
--- a/crates/grants/src/division.rs
+++ b/crates/grants/src/division.rs
@@ -1,49 +1,49 @@
-//! How one service's load should be divided, as of a moment.
+//! Target distribution of one service's load among its servers.
 //!
-//! Working it out touches every shard and every server, so it is kept for a while.
+//! Computing it visits every shard and every server, so the result is cached for a short time.
 
 use std::time::Duration;
 
 use grebepin_catalog::{InstanceId, ShardOwnership, SHARDS};
 
-use crate::load::LoadBook;
-use crate::placement::{Demand, MAXIMUM_ROWS};
+use crate::load::LoadTracker;
+use crate::placement::{AssignmentRequest, MAX_ROWS};
 use crate::shares::Shares;
 use crate::transfer::Receiver;
 
-/// How long a division is kept.
-const LIFETIME: Duration = Duration::from_millis(400);
+/// How long a distribution is used before it is computed again.
+const DIVISION_LIFETIME: Duration = Duration::from_millis(400);
 
-/// The division of a service's load.
+/// Target distribution of a service's load at one time.
 #[derive(Debug)]
 pub(crate) struct Division {
-    at: Duration,
+    computed_at: Duration,
     pub shares: Shares,
-    /// Servers that can take shards.
+    /// Number of servers that can take shards.
     eligible: usize,
 }
 
 impl Division {
-    /// Divides the load of a service among the servers that can take shards.
+    /// Distributes the load of a service among the servers that can take shards.
     pub(crate) fn new(
         now: Duration,
-        load: &LoadBook,
+        load: &LoadTracker,
         service: &str,
         eligible: &[&InstanceId],
     ) -> Self {
         Self {
-            at: now,
+            computed_at: now,
             shares: Shares::new(now, load, service, eligible),
             eligible: eligible.len(),
         }
     }
 
-    /// Whether it is recent enough to go by.
+    /// Whether it is recent enough to be used.
     pub(crate) fn is_fresh(&self, now: Duration) -> bool {
-        now < self.at + LIFETIME
+        now < self.computed_at + DIVISION_LIFETIME
     }
 
-    /// What a server may take whose next heartbeat is expected at a time.
+    /// A server whose next heartbeat is due at `expected`, with the load that it can take over.
     pub(crate) fn receiver(
         &self,
         ownership: &ShardOwnership,
@@ -53,34 +53,34 @@
         Receiver {
             id: id.clone(),
             expected,
-            room: self.shares.room(ownership, id),
+            headroom: self.shares.headroom(ownership, id),
             capacity: self.shares.capacity(id),
-            rows_left: MAXIMUM_ROWS.saturating_sub(rows_of(ownership, id)),
+            rows_left: MAX_ROWS.saturating_sub(rows_of(ownership, id)),
         }
     }
 
-    /// What a server that asks for shards has and may still take.
-    pub(crate) fn demand(
+    /// Input for choosing the shards that a server takes.
+    pub(crate) fn assignment_request(
         &self,
         ownership: &ShardOwnership,
         id: &InstanceId,
-        room: f64,
+        headroom: f64,
         overdue: bool,
-    ) -> Demand {
+    ) -> AssignmentRequest {
         let owned = ownership.count_of(id);
-        Demand {
+        AssignmentRequest {
             total: SHARDS,
             owned,
             rows: rows_of(ownership, id),
-            room,
-            eligible: self.eligible,
-            empty: self.eligible.saturating_sub(ownership.owner_count()),
+            headroom,
+            eligible_servers: self.eligible,
+            empty_servers: self.eligible.saturating_sub(ownership.owner_count()),
             overdue,
         }
     }
 }
 
-/// Rows that list a server's shards.
+/// Number of rows that list a server's shards.
 fn rows_of(ownership: &ShardOwnership, id: &InstanceId) -> usize {
     ownership.rows(ownership.owned_by(id)).len()
 }
--- a/crates/grants/src/heartbeat.rs
+++ b/crates/grants/src/heartbeat.rs
@@ -1,55 +1,55 @@
-//! A server's heartbeat and the grant in its answer.
+//! A server's heartbeat, and the grant in the response to it.
 
 use std::time::Duration;
 
 use grebepin_catalog::{InstanceId, KeyRow, KEYS_PER_SHARD, SHARDS};
 use serde::{Deserialize, Serialize};
 
-/// Keys that a server reports to hold.
+/// Range of keys that a server reports as held.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldRange {
     /// First key.
     pub from: u32,
     /// Last key, inclusive.
     pub to: u32,
-    /// Fence it holds them under.
+    /// Fence under which the server holds them.
     pub fence: u64,
 }
 
-/// Keys that a server released since its last acknowledged heartbeat.
+/// Range of keys that a server released since its last acknowledged heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleasedRange {
     /// First key.
     pub from: u32,
     /// Last key, inclusive.
     pub to: u32,
-    /// What the next owner is given so that it starts warm.
+    /// Opaque text from the previous owner, passed on to the next one so that it starts with warm state.
     pub handover: String,
 }
 
-/// One heartbeat.
+/// Heartbeat of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The server.
+    /// Server that sends the heartbeat.
     pub id: InstanceId,
-    /// Service it serves.
+    /// Name of the service that it belongs to.
     pub service: String,
     /// Address for requests, `IP:PORT`.
     pub address: String,
-    /// Zone it runs in.
+    /// Zone in which it runs.
     pub zone: String,
-    /// Requests it works on at a time.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is shutting down and should give up its shards.
     pub draining: bool,
-    /// How much longer it warms up and takes few requests; zero for one that does not.
+    /// Time left until the server is warm; zero for a server that isn't warming up.
     #[serde(default)]
     pub warmup_left: Duration,
-    /// Rises with each heartbeat of the server.
+    /// Increases with each heartbeat of the server.
     pub sequence: u64,
-    /// Keys it holds or still works on.
+    /// Keys that it holds or still processes requests for.
     pub holds: Vec<HeldRange>,
-    /// Keys it released.
+    /// Keys that it released.
     pub freed: Vec<ReleasedRange>,
 }
 
@@ -61,7 +61,7 @@
         self.holds.iter().find(overlaps).map(|row| row.fence)
     }
 
-    /// Handover of a shard that the server released whole; empty without one.
+    /// Handover text of a shard that was released as a whole; empty when there is none.
     pub fn handover_of(&self, shard: usize) -> String {
         let (first, last) = keys_of(shard);
         let covers = |row: &&ReleasedRange| row.from <= first && last <= row.to;
@@ -70,18 +70,18 @@
     }
 }
 
-/// First and last key of a shard.
+/// First and last key of a shard, both inclusive.
 fn keys_of(shard: usize) -> (u32, u32) {
     debug_assert!(shard < SHARDS);
     let first = shard as u32 * KEYS_PER_SHARD;
     (first, first + KEYS_PER_SHARD - 1)
 }
 
-/// Everything that a server is to hold from the sending of its heartbeat on.
+/// All keys that a server holds under one lease, which starts when the heartbeat was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The keys.
+    /// Key ranges with their fences and handover texts. Keys that aren't listed must be released.
     pub rows: Vec<KeyRow>,
-    /// Length of the lease.
+    /// Duration of the lease, counted by the server from the moment it sent the heartbeat.
     pub lease: Duration,
 }
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -1,12 +1,14 @@
-//! The leader's side of leases that travel in the answers to servers' heartbeats.
+//! Leader side of the leases that are granted in the responses to servers' heartbeats.
 //!
-//! Invariants: a shard is assigned only while nobody can hold it: it never had an owner, or its owner
-//! reported after being told to release that it no longer holds it, or the owner's lease ran out by
-//! the leader's clock, counted from the latest moment at which a grant can have been asked for.
-//! A leader assumes that its predecessor renewed every lease just before its own time began.
+//! Invariants: a shard is assigned only while no server can hold it. Either it never had an owner, or
+//! its owner was told to release it and reported afterwards that it no longer holds it, or the owner's
+//! lease expired by the leader's clock, counted from the latest moment at which a grant can have been
+//! requested. A new leader assumes that its predecessor renewed every lease just before the change of
+//! leader.
 //!
-//! The crate is pure: time comes in as a `Duration` on the process's monotonic clock; changes of
-//! the replicated state go out as [`Command`](grebepin_catalog::Command)s, and an answer is worked out only after these are applied.
+//! The crate performs no I/O and reads no clock: time is passed in as a `Duration` on the process's
+//! monotonic clock. Changes of the replicated state are returned as
+//! [`Command`](grebepin_catalog::Command)s, and a grant is computed only after these are applied.
 
 mod addresses;
 mod coordinator;
--- a/crates/grants/src/load.rs
+++ b/crates/grants/src/load.rs
@@ -1,7 +1,8 @@
-//! What the gateways tell about load: requests for each shard, and what each server makes of them.
+//! Load reported by the gateways: requests per shard, and the answers of each server.
 //!
-//! A server's capacity is estimated from the rate of its answers and from how many requests are there at a
-//! time, whenever a service's load is divided and not at each report: reports come from every gateway.
+//! A server's capacity is estimated from the rate of its answers and the number of concurrent requests.
+//! Estimates are updated when a service's load is distributed and not for each report, since reports
+//! come from every gateway.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -9,77 +10,80 @@
 use grebepin_catalog::{InstanceId, SHARDS};
 use serde::{Deserialize, Serialize};
 
-use crate::rate::{AlertRate, Rate};
+use crate::rate::{AdaptiveRate, DecayingRate};
 
-/// Utilization above which a server counts as saturated, and steps to find one.
-const LARGEST_UTILIZATION: f64 = 0.99;
+/// Utilization above which a server counts as saturated, and the steps of the bisection that finds the
+/// utilization.
+const MAX_UTILIZATION: f64 = 0.99;
 const BISECTIONS: u32 = 20;
 
-/// Weight of one answer in the estimate of a capacity.
+/// Weight of one answer in the exponential moving average of the capacity.
 const ANSWER_WEIGHT: f64 = 0.05;
 
-/// Memory of the rates that a capacity is estimated from.
-const CAPACITY_MEMORY: Duration = Duration::from_millis(1_500);
+/// Time constant of the rates that a capacity is estimated from.
+const CAPACITY_TIME_CONSTANT: Duration = Duration::from_millis(1_500);
 
-/// Answers after which a server's capacity counts as known.
-const KNOWN_AFTER_ANSWERS: f64 = 10.0;
+/// Number of answers from which the estimate of a capacity is used.
+const MIN_ESTIMATE_ANSWERS: f64 = 10.0;
 
-/// Part of a service's load by which one shard must change to count as suddenly changed.
-const LEAST_CHANGE_PART: f64 = 0.05;
+/// Fraction of a service's load by which one shard must change for the change to count as sudden.
+const MIN_CHANGE_FRACTION: f64 = 0.05;
 
-/// Time for which a stated rate counts that no gateway tells of again: as long as so many answers take at that rate,
-/// within bounds. A gateway reports each second, and asks only in its turn.
-const STATED_ANSWERS: f64 = 4.0;
-const LEAST_STATED_MEMORY: Duration = Duration::from_secs(4);
-const LONGEST_STATED_MEMORY: Duration = Duration::from_secs(30);
+/// Age at which a stated rate that no gateway reports any more expires: the time that this many answers
+/// take at that rate, within bounds. Gateways report once a second, and a server is sent requests only
+/// at its stated rate.
+const STATED_RATE_ANSWERS: f64 = 4.0;
+const MIN_STATED_RATE_LIFETIME: Duration = Duration::from_secs(4);
+const MAX_STATED_RATE_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Load that each shard has whether it is asked for or not, as a part of the mean load of a shard.
-const BASE_PART: f64 = 0.25;
+/// Base load of each shard, added to its requests, as a fraction of the mean load of a shard.
+const BASE_LOAD_FRACTION: f64 = 0.25;
 
-/// What one gateway saw of a server in a while.
+/// Answers of one server to one gateway within a reporting period.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerSample {
-    /// The server.
+    /// Server that gave the answers.
     pub id: InstanceId,
-    /// Answers that it gave.
+    /// Number of answers.
     pub answers: u32,
-    /// Time that they took together, in seconds.
+    /// Sum of the response times, in seconds.
     pub seconds: f32,
-    /// Requests a second that the server states to take from all gateways together, where it states that.
+    /// Requests a second that the server states to accept from all gateways together; absent when it
+    /// states no rate.
     #[serde(default)]
     pub stated_rate: Option<f32>,
-    /// Seconds for which the server takes no requests, where it asked for none.
+    /// Seconds for which the server asked to get no requests; absent when it didn't ask.
     #[serde(default)]
     pub cooldown: Option<f32>,
-    /// Whether it says in its answers that it leaves.
+    /// Whether the server's answers announce that it is leaving.
     #[serde(default)]
     pub is_leaving: bool,
 }
 
-/// What one gateway saw in a while.
+/// Load that one gateway reports for a period.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadSample {
-    /// Requests by service and shard.
+    /// Number of requests by service and shard.
     pub shards: Vec<(String, Vec<(u16, u16)>)>,
     /// Servers that answered.
     pub servers: Vec<ServerSample>,
 }
 
 impl LoadSample {
-    /// Whether it tells nothing.
+    /// Whether the sample contains no data.
     pub fn is_empty(&self) -> bool {
         self.shards.is_empty() && self.servers.is_empty()
     }
 }
 
-/// The sum of several samples.
+/// Sum of several samples.
 #[derive(Debug, Default)]
 pub struct LoadSum {
     shards: BTreeMap<String, BTreeMap<u16, u16>>,
     servers: BTreeMap<InstanceId, ServerSum>,
 }
 
-/// What several gateways saw of a server.
+/// Sum of the samples of one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerSum {
     answers: u32,
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Adds a request for a shard.
+    /// Adds one request for a shard.
     pub fn add_request(&mut self, service: &str, shard: u16) {
         add_count(self.shards_of(service), shard, 1);
     }
@@ -124,36 +128,37 @@
         self.shards.get_mut(service).expect("just inserted")
     }
 
-    /// Adds answers of a server that took so many seconds together.
+    /// Adds answers of a server; `seconds` is the sum of their response times.
     pub fn add_answers(&mut self, server: &InstanceId, answers: u32, seconds: f32) {
         let sum = self.servers.entry(server.clone()).or_default();
         sum.answers = sum.answers.saturating_add(answers);
         sum.seconds += seconds;
     }
 
-    /// Notes the rate that a server states; the last one noted counts.
+    /// Records the rate that a server states, in requests a second; the last one recorded is kept.
     pub fn add_stated_rate(&mut self, server: &InstanceId, per_second: f32) {
         let sum = self.servers.entry(server.clone()).or_default();
         sum.stated_rate = Some(per_second);
     }
 
-    /// Notes that a server takes no requests for so many seconds; the longest time noted counts.
+    /// Records that a server asked to get no requests for some seconds; the longest time recorded is
+    /// kept.
     pub fn add_cooldown(&mut self, server: &InstanceId, seconds: f32) {
         let sum = self.servers.entry(server.clone()).or_default();
         sum.cooldown = Some(sum.cooldown.map_or(seconds, |known| known.max(seconds)));
     }
 
-    /// Notes that a server says that it leaves.
+    /// Marks a server as leaving.
     pub fn add_leaving(&mut self, server: &InstanceId) {
         self.servers.entry(server.clone()).or_default().is_leaving = true;
     }
 
-    /// Whether nothing was added that tells anything.
+    /// Whether nothing has been added.
     pub fn is_empty(&self) -> bool {
         self.shards.is_empty() && self.servers.is_empty()
     }
 
-    /// Takes the sum; it begins anew.
+    /// Returns the sum and resets it.
     pub fn take(&mut self) -> LoadSample {
         let taken = std::mem::take(self);
         let shards = taken.shards.into_iter();
@@ -181,50 +186,51 @@
     *count = count.saturating_add(more);
 }
 
-/// One server's answers.
+/// Rates of one server's answers, and the estimate of its capacity.
 #[derive(Clone, Copy, Debug)]
 struct ServerLoad {
-    answers: Rate,
-    seconds: Rate,
-    /// Requests that it works on at a time.
+    answers: DecayingRate,
+    seconds: DecayingRate,
+    /// Requests that it processes concurrently.
     slots: f64,
     capacity: Option<f64>,
-    /// Answers that the estimate of the capacity rests on.
-    estimated_from: f64,
-    /// Answers since the last estimate.
-    fresh_answers: f64,
+    /// Number of answers that the estimate of the capacity rests on.
+    estimate_answers: f64,
+    /// Number of answers since the last estimate.
+    answers_since_estimate: f64,
     stated: Option<StatedRate>,
-    /// Until when it takes no requests.
-    cools_down_until: Duration,
+    /// End of the time for which it asked to get no requests.
+    cooldown_until: Duration,
 }
 
-/// A rate that a server stated.
+/// Rate that a server stated.
 #[derive(Clone, Copy, Debug)]
 struct StatedRate {
     per_second: f64,
-    /// When a gateway last told of it.
-    told: Duration,
+    /// When a gateway last reported it.
+    reported_at: Duration,
 }
 
 impl StatedRate {
-    /// Whether the server would have been asked since, had it stopped stating the rate.
-    fn is_over(&self, now: Duration) -> bool {
-        let mean_pause = Duration::try_from_secs_f64(STATED_ANSWERS / self.per_second);
-        let memory = mean_pause.unwrap_or(LONGEST_STATED_MEMORY);
-        now > self.told + memory.clamp(LEAST_STATED_MEMORY, LONGEST_STATED_MEMORY)
+    /// Whether the rate would have been reported again by now if the server still stated it.
+    fn is_expired(&self, now: Duration) -> bool {
+        let time_of_answers = Duration::try_from_secs_f64(STATED_RATE_ANSWERS / self.per_second);
+        let lifetime = time_of_answers.unwrap_or(MAX_STATED_RATE_LIFETIME);
+        now > self.reported_at + lifetime.clamp(MIN_STATED_RATE_LIFETIME, MAX_STATED_RATE_LIFETIME)
     }
 }
 
-/// The load of all services, as the leader knows it.
+/// Load of all services, as reported to the leader.
 #[derive(Debug, Default)]
-pub(crate) struct LoadBook {
-    shards: HashMap<String, Vec<AlertRate>>,
+pub(crate) struct LoadTracker {
+    shards: HashMap<String, Vec<AdaptiveRate>>,
     servers: BTreeMap<InstanceId, ServerLoad>,
 }
 
-impl LoadBook {
-    /// Takes in what a gateway saw. `slots` tells how many requests a server works on at a time.
-    pub(crate) fn note(
+impl LoadTracker {
+    /// Adds a gateway's report. `slots` returns the number of requests that a server processes
+    /// concurrently.
+    pub(crate) fn record(
         &mut self,
         now: Duration,
         sample: &LoadSample,
@@ -234,7 +240,7 @@
             let rates = self
                 .shards
                 .entry(service.clone())
-                .or_insert_with(|| vec![AlertRate::default(); SHARDS]);
+                .or_insert_with(|| vec![AdaptiveRate::default(); SHARDS]);
             for (shard, count) in counts {
                 if let Some(rate) = rates.get_mut(usize::from(*shard)) {
                     rate.add(now, f64::from(*count));
@@ -249,21 +255,21 @@
             load.answers.add(now, f64::from(server.answers));
             load.seconds.add(now, f64::from(server.seconds));
             load.slots = f64::from(slots.max(1));
-            load.fresh_answers += f64::from(server.answers);
+            load.answers_since_estimate += f64::from(server.answers);
             if let Some(per_second) = server.stated_rate.map(f64::from) {
                 load.stated = Some(StatedRate {
                     per_second,
-                    told: now,
+                    reported_at: now,
                 });
             }
             let cooldown = server.cooldown.map(Duration::try_from_secs_f32);
             if let Some(Ok(cooldown)) = cooldown {
-                load.cools_down_until = load.cools_down_until.max(now + cooldown);
+                load.cooldown_until = load.cooldown_until.max(now + cooldown);
             }
         }
     }
 
-    /// Brings the estimates of some servers' capacities up to date.
+    /// Updates the estimated capacities of the given servers.
     pub(crate) fn estimate(&mut self, now: Duration, servers: &[&InstanceId]) {
         for id in servers {
             if let Some(load) = self.servers.get_mut(*id) {
@@ -272,45 +278,45 @@
         }
     }
 
-    /// Forgets servers that are not known any more.
+    /// Removes servers that are no longer known.
     pub(crate) fn retain(&mut self, is_known: impl Fn(&InstanceId) -> bool) {
         self.servers.retain(|id, _| is_known(id));
     }
 
-    /// Requests a second for each shard of a service, each with a base, so that shards that nobody
-    /// asks for are divided as well.
+    /// Requests a second for each shard of a service, plus a base load, so that shards without requests
+    /// are distributed too.
     pub(crate) fn weights(&self, now: Duration, service: &str) -> Vec<f64> {
         let rates: Vec<f64> = match self.shards.get(service) {
             Some(rates) => current_rates(now, rates),
             None => vec![0.0; SHARDS],
         };
         let total: f64 = rates.iter().sum();
-        let base = (total / SHARDS as f64 * BASE_PART).max(f64::MIN_POSITIVE);
+        let base = (total / SHARDS as f64 * BASE_LOAD_FRACTION).max(f64::MIN_POSITIVE);
         rates.into_iter().map(|rate| rate + base).collect()
     }
 
-    /// Time for which a server takes no requests; `None` when it does.
+    /// Time left for which a server asked to get no requests; `None` when it accepts requests.
     pub(crate) fn cooldown(&self, now: Duration, id: &InstanceId) -> Option<Duration> {
-        let until = self.servers.get(id)?.cools_down_until;
+        let until = self.servers.get(id)?.cooldown_until;
         (now < until).then(|| until - now)
     }
 
-    /// Whether a server states how many requests it takes.
-    pub(crate) fn states_rate(&self, now: Duration, id: &InstanceId) -> bool {
+    /// Whether a server states the rate of requests that it accepts.
+    pub(crate) fn has_stated_rate(&self, now: Duration, id: &InstanceId) -> bool {
         let load = self.servers.get(id);
         let stated = load.and_then(|load| load.stated);
-        stated.is_some_and(|stated| !stated.is_over(now))
+        stated.is_some_and(|stated| !stated.is_expired(now))
     }
 
-    /// Answers a second that a server can give, and no more than it states to take; `None` while nothing is known.
+    /// Answers a second that a server can give, at most its stated rate; `None` while neither is known.
     pub(crate) fn capacity(&self, now: Duration, id: &InstanceId) -> Option<f64> {
         let load = self.servers.get(id)?;
-        if now < load.cools_down_until {
+        if now < load.cooldown_until {
             return Some(0.0);
         }
-        let is_known = load.estimated_from >= KNOWN_AFTER_ANSWERS;
+        let is_known = load.estimate_answers >= MIN_ESTIMATE_ANSWERS;
         let estimated = load.capacity.filter(|_| is_known);
-        let stated = load.stated.filter(|stated| !stated.is_over(now));
+        let stated = load.stated.filter(|stated| !stated.is_expired(now));
         match (estimated, stated) {
             (Some(estimated), Some(stated)) => Some(estimated.min(stated.per_second)),
             (estimated, stated) => estimated.or(stated.map(|stated| stated.per_second)),
@@ -321,58 +327,58 @@
 impl Default for ServerLoad {
     fn default() -> Self {
         Self {
-            answers: Rate::new(CAPACITY_MEMORY),
-            seconds: Rate::new(CAPACITY_MEMORY),
+            answers: DecayingRate::new(CAPACITY_TIME_CONSTANT),
+            seconds: DecayingRate::new(CAPACITY_TIME_CONSTANT),
             slots: 1.0,
             capacity: None,
-            estimated_from: 0.0,
-            fresh_answers: 0.0,
+            estimate_answers: 0.0,
+            answers_since_estimate: 0.0,
             stated: None,
-            cools_down_until: Duration::ZERO,
+            cooldown_until: Duration::ZERO,
         }
     }
 }
 
 impl ServerLoad {
     fn estimate(&mut self, now: Duration) {
-        let answers = std::mem::take(&mut self.fresh_answers);
+        let answers = std::mem::take(&mut self.answers_since_estimate);
         let rate = self.answers.per_second(now);
-        let at_a_time = self.seconds.per_second(now);
-        if answers <= 0.0 || rate <= 0.0 || at_a_time <= 0.0 {
+        let concurrency = self.seconds.per_second(now);
+        if answers <= 0.0 || rate <= 0.0 || concurrency <= 0.0 {
             return;
         }
-        let seen = rate / utilization(at_a_time, self.slots);
+        let measured = rate / utilization(concurrency, self.slots);
         let weight = 1.0 - (1.0 - ANSWER_WEIGHT).powf(answers);
-        let present = self.capacity.unwrap_or(seen);
-        self.capacity = Some(present + weight * (seen - present));
-        self.estimated_from += answers;
+        let previous = self.capacity.unwrap_or(measured);
+        self.capacity = Some(previous + weight * (measured - previous));
+        self.estimate_answers += answers;
     }
 }
 
-/// Requests a second for each shard. A sudden change of one shard counts when it matters to the whole
-/// service: among thousands of shards some always seem to change by chance.
-fn current_rates(now: Duration, rates: &[AlertRate]) -> Vec<f64> {
+/// Requests a second for each shard. A sudden change of one shard counts only when it matters for the
+/// whole service: among thousands of shards some always seem to change by chance.
+fn current_rates(now: Duration, rates: &[AdaptiveRate]) -> Vec<f64> {
     let steady = rates.iter().map(|rate| rate.steady_per_second(now));
-    let least = steady.sum::<f64>() * LEAST_CHANGE_PART;
+    let least = steady.sum::<f64>() * MIN_CHANGE_FRACTION;
     rates
         .iter()
         .map(|rate| rate.per_second(now, least))
         .collect()
 }
 
-/// The part of the time that each slot of a server is busy, when so many requests are there at a time,
-/// those that wait included. Inverts Sakasegawa's approximation of the queue of several servers:
+/// Utilization of a server's slots when it has `concurrency` requests on average, including those that
+/// wait. Inverts Sakasegawa's approximation for a queue with several servers:
 /// `slots * u + u^sqrt(2 * (slots + 1)) / (1 - u)` requests at a utilization `u`.
-fn utilization(at_a_time: f64, slots: f64) -> f64 {
+fn utilization(concurrency: f64, slots: f64) -> f64 {
     let exponent = (2.0 * (slots + 1.0)).sqrt();
-    let present = |busy: f64| slots * busy + busy.powf(exponent) / (1.0 - busy);
-    let (mut least, mut most) = (0.0, LARGEST_UTILIZATION);
+    let in_system = |busy: f64| slots * busy + busy.powf(exponent) / (1.0 - busy);
+    let (mut low, mut high) = (0.0, MAX_UTILIZATION);
     for _ in 0..BISECTIONS {
-        let middle = (least + most) / 2.0;
-        match present(middle) < at_a_time {
-            true => least = middle,
-            false => most = middle,
+        let middle = (low + high) / 2.0;
+        match in_system(middle) < concurrency {
+            true => low = middle,
+            false => high = middle,
         }
     }
-    most
+    high
 }
--- a/crates/grants/src/permits.rs
+++ b/crates/grants/src/permits.rs
@@ -1,8 +1,10 @@
-//! Permits to send a request to a server that states how many it takes: the leader gives them out one by one, so that
-//! all gateways together keep to the rate and use it, however many they are and wherever the requests come.
+//! Token buckets for servers that state how many requests they accept per second.
 //!
-//! Invariant: in any time `t` no more than `STATED_RATE_FRACTION * rate * t` permits and one burst are given for a server, also right
-//! after a leader began, which knows nothing of those given before.
+//! The leader hands out the permits one by one, so that all gateways together stay below the rate and
+//! make full use of it, however many gateways there are and however requests are spread over them.
+//!
+//! Invariant: in any time `t` at most `STATED_RATE_FRACTION * rate * t` permits plus one burst are given
+//! for a server. This also holds after a change of leader, since a new leader starts with empty buckets.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,68 +12,71 @@
 use grebepin_catalog::InstanceId;
 use serde::{Deserialize, Serialize};
 
-/// Part of a stated rate that is given out; the rest is for gateways that were not told of it yet.
+/// Fraction of a stated rate that is given out as permits; the rest is left for gateways that don't know
+/// the rate yet.
 pub const STATED_RATE_FRACTION: f64 = 0.9;
 
-/// Permits that may be given at once after a quiet while, and time whose permits may be given besides: places that a few
-/// moments without a request would lose are used by the next.
+/// Capacity of a bucket: a number of permits, plus those that accrue in a time window. Capacity that
+/// goes unused during a few moments without requests is available to the requests that follow.
 const BURST_PERMITS: f64 = 2.0;
-const BURST_TIME: Duration = Duration::from_millis(500);
+const BURST_WINDOW: Duration = Duration::from_millis(500);
 
-/// Least rate that is reckoned with, in requests a second: a server that states none at all is asked now and then
-/// whether it still does.
+/// Lower bound of stated rates, in requests a second. A server that states a rate of 0 still gets an
+/// occasional request, which shows whether it still states that.
 pub const MIN_STATED_RATE: f64 = 0.1;
 
 /// Longest time that a gateway is told to wait before it asks again.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// Servers of which permits are remembered at most, and the time after which one that nobody asks for is forgotten.
-const MOST_SERVERS: usize = 16_384;
-const REMEMBERED_FOR: Duration = Duration::from_secs(10);
+/// Number of buckets from which idle ones are evicted, and the time without a request for a permit after
+/// which a bucket is idle.
+const EVICTION_THRESHOLD: usize = 16_384;
+const BUCKET_RETENTION: Duration = Duration::from_secs(10);
 
-/// The answer to a gateway that asks for a permit.
+/// Answer to a gateway's request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Permit {
     /// One request may be sent now.
     Given,
-    /// None may be; one is likely to be given after a time.
+    /// No request may be sent now.
     Refused {
-        /// The time.
+        /// Time after which a permit is likely to be available.
         after: Duration,
     },
 }
 
-/// Permits for one server.
+/// Token bucket of one server.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     permits: f64,
-    filled: Duration,
-    /// Refusals since the last permit: as many wait for the next ones.
+    refilled_at: Duration,
+    /// Requests refused since the last permit; as many gateways wait for the next permits.
     refused: u32,
 }
 
-/// Permits for all servers, at the leader.
+/// Token buckets of all servers, kept by the leader.
 #[derive(Debug, Default)]
 pub struct Permits {
     buckets: HashMap<InstanceId, Bucket>,
 }
 
 impl Permits {
-    /// A gateway that was told of a rate, in requests a second, asks to send one request.
+    /// Requests a permit for one request to a server. `stated_rate` is in requests a second, as the
+    /// gateway knows it.
     pub fn take(&mut self, now: Duration, server: &InstanceId, stated_rate: f64) -> Permit {
         let rate = stated_rate.max(MIN_STATED_RATE) * STATED_RATE_FRACTION;
         if !self.buckets.contains_key(server) {
-            self.make_room(now);
+            self.evict_idle_buckets(now);
         }
         let bucket = self.buckets.entry(server.clone()).or_insert(Bucket {
             permits: 0.0,
-            filled: now,
+            refilled_at: now,
             refused: 0,
         });
-        let passed = now.saturating_sub(bucket.filled).as_secs_f64();
-        let most = BURST_PERMITS + rate * BURST_TIME.as_secs_f64();
+        let passed = now.saturating_sub(bucket.refilled_at).as_secs_f64();
+        let most = BURST_PERMITS + rate * BURST_WINDOW.as_secs_f64();
         bucket.permits = (bucket.permits + passed * rate).min(most);
-        bucket.filled = now;
+        bucket.refilled_at = now;
         if bucket.permits >= 1.0 {
             bucket.permits -= 1.0;
             bucket.refused = 0;
@@ -79,17 +84,18 @@
         }
         bucket.refused = bucket.refused.saturating_add(1);
         let seconds = (f64::from(bucket.refused) - bucket.permits) / rate;
-        let after = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_WAIT);
+        let after = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_WAIT);
         Permit::Refused {
-            after: after.min(LONGEST_WAIT),
+            after: after.min(MAX_WAIT),
         }
     }
 
-    /// Forgets servers that nobody asked for lately, where there are many: their buckets would begin empty again.
-    fn make_room(&mut self, now: Duration) {
-        if self.buckets.len() >= MOST_SERVERS {
+    /// Evicts idle buckets when there are many. A bucket that is created again starts empty, so no burst
+    /// is given twice.
+    fn evict_idle_buckets(&mut self, now: Duration) {
+        if self.buckets.len() >= EVICTION_THRESHOLD {
             self.buckets
-                .retain(|_, bucket| now < bucket.filled + REMEMBERED_FOR);
+                .retain(|_, bucket| now < bucket.refilled_at + BUCKET_RETENTION);
         }
     }
 }
--- a/crates/grants/src/rate.rs
+++ b/crates/grants/src/rate.rs
@@ -1,29 +1,29 @@
-//! Rates of events that forget.
+//! Rates of events with exponential decay.
 
 use std::time::Duration;
 
-/// Time in which an old rate loses most of its weight.
-pub(crate) const RATE_MEMORY: Duration = Duration::from_millis(4_000);
+/// Time constant of the decay: the age at which an event's weight has fallen to 1/e.
+pub(crate) const RATE_TIME_CONSTANT: Duration = Duration::from_millis(4_000);
 
-/// The same for a rate that must show a sudden change.
-const QUICK_MEMORY: Duration = Duration::from_millis(1_000);
+/// Shorter time constant, for a rate that has to follow sudden changes.
+const FAST_TIME_CONSTANT: Duration = Duration::from_millis(1_000);
 
-/// Standard deviations by which a quick rate must differ from the steady one to count in its place.
-const CHANGE_DEVIATIONS: f64 = 4.0;
+/// Standard deviations by which the fast rate must differ from the steady one to replace it.
+const MIN_CHANGE_DEVIATIONS: f64 = 4.0;
 
-/// A rate that forgets.
+/// Event rate with exponential decay.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Rate {
-    memory: Duration,
+pub(crate) struct DecayingRate {
+    time_constant: Duration,
     events: f64,
     at: Duration,
 }
 
-impl Rate {
-    /// No events yet; old ones lose most of their weight in `memory`.
-    pub(crate) fn new(memory: Duration) -> Self {
+impl DecayingRate {
+    /// Rate without events yet; the weight of an event falls to 1/e within `time_constant`.
+    pub(crate) fn new(time_constant: Duration) -> Self {
         Self {
-            memory,
+            time_constant,
             events: 0.0,
             at: Duration::ZERO,
         }
@@ -31,62 +31,60 @@
 
     fn decayed(self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        self.events * (-age / self.memory.as_secs_f64()).exp()
+        self.events * (-age / self.time_constant.as_secs_f64()).exp()
     }
 
-    /// Takes events in.
     pub(crate) fn add(&mut self, now: Duration, events: f64) {
         self.events = self.decayed(now) + events;
         self.at = now;
     }
 
-    /// Events a second.
+    /// Events per second.
     pub(crate) fn per_second(self, now: Duration) -> f64 {
-        self.decayed(now) / self.memory.as_secs_f64()
+        self.decayed(now) / self.time_constant.as_secs_f64()
     }
 }
 
-/// A rate that is steady under chance and yet follows a sudden change: a quick one counts in its place
-/// once both differ by more than chance explains.
+/// Rate that ignores random variation but follows sudden changes: a fast rate replaces the steady one
+/// when they differ by more than random variation explains.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AlertRate {
-    steady: Rate,
-    quick: Rate,
+pub(crate) struct AdaptiveRate {
+    steady: DecayingRate,
+    fast: DecayingRate,
 }
 
-impl Default for AlertRate {
+impl Default for AdaptiveRate {
     fn default() -> Self {
         Self {
-            steady: Rate::new(RATE_MEMORY),
-            quick: Rate::new(QUICK_MEMORY),
+            steady: DecayingRate::new(RATE_TIME_CONSTANT),
+            fast: DecayingRate::new(FAST_TIME_CONSTANT),
         }
     }
 }
 
-impl AlertRate {
-    /// Takes events in.
+impl AdaptiveRate {
     pub(crate) fn add(&mut self, now: Duration, events: f64) {
         self.steady.add(now, events);
-        self.quick.add(now, events);
+        self.fast.add(now, events);
     }
 
-    /// Events a second by the steady rate alone.
+    /// Events per second by the steady rate alone.
     pub(crate) fn steady_per_second(self, now: Duration) -> f64 {
         self.steady.per_second(now)
     }
 
-    /// Events a second, where a change of less than `least` is none.
-    pub(crate) fn per_second(self, now: Duration, least: f64) -> f64 {
+    /// Events per second; a change of less than `min_change` is ignored.
+    pub(crate) fn per_second(self, now: Duration, min_change: f64) -> f64 {
         let steady = self.steady.per_second(now);
-        let quick = self.quick.per_second(now);
-        if (quick - steady).abs() < least {
+        let fast = self.fast.per_second(now);
+        if (fast - steady).abs() < min_change {
             return steady;
         }
-        // A rate with this memory rests on about `2 * memory` seconds of events, whose number varies
-        // with its root.
-        let chance = (steady.max(quick) / (2.0 * QUICK_MEMORY.as_secs_f64())).sqrt();
-        match (quick - steady).abs() > CHANGE_DEVIATIONS * chance {
-            true => quick,
+        // A rate with this time constant rests on the events of about `2 * time_constant` seconds. The
+        // standard deviation of their number is its square root.
+        let deviation = (steady.max(fast) / (2.0 * FAST_TIME_CONSTANT.as_secs_f64())).sqrt();
+        match (fast - steady).abs() > MIN_CHANGE_DEVIATIONS * deviation {
+            true => fast,
             false => steady,
         }
     }
--- a/crates/grants/src/registration.rs
+++ b/crates/grants/src/registration.rs
@@ -1,47 +1,52 @@
-//! What a heartbeat says of its server, and what the replicated state says of it.
+//! Registration of servers from their heartbeats, and whether a server has to give up its shards.
 
 use grebepin_catalog::{Catalog, Command, FreedShard, Instance, InstanceState, ShardOwnership};
 
-use crate::addresses::Addresses;
+use crate::addresses::AddressIndex;
 use crate::heartbeat::Heartbeat;
 
-/// Commands that take in the server and end earlier ones at its address.
-pub(crate) fn registration(
+/// Commands that register the server and mark earlier servers at its address as gone.
+pub(crate) fn registration_commands(
     catalog: &Catalog,
-    addresses: &mut Addresses,
-    beat: &Heartbeat,
+    addresses: &mut AddressIndex,
+    heartbeat: &Heartbeat,
 ) -> Vec<Command> {
-    let state = match beat.draining {
+    let state = match heartbeat.draining {
         true => InstanceState::Draining,
         false => InstanceState::Ready,
     };
-    let known = catalog.instance(&beat.id);
+    let known = catalog.instance(&heartbeat.id);
     let instance = Instance {
-        id: beat.id.clone(),
-        service: beat.service.clone(),
-        address: beat.address.clone(),
-        zone: beat.zone.clone(),
-        slots: beat.slots,
+        id: heartbeat.id.clone(),
+        service: heartbeat.service.clone(),
+        address: heartbeat.address.clone(),
+        zone: heartbeat.zone.clone(),
+        slots: heartbeat.slots,
         state: known.map_or(state, |known| known.state.max(state)),
-        is_cold: !beat.warmup_left.is_zero() && catalog.warmup_rate(&beat.service).is_some(),
+        is_cold: !heartbeat.warmup_left.is_zero()
+            && catalog.warmup_rate(&heartbeat.service).is_some(),
     };
     let mut commands = Vec::new();
     if known == Some(&instance) {
         return commands;
     }
     if known.is_none() {
-        let replaced = addresses.live_at(catalog, &beat.address).into_iter();
+        let replaced = addresses.live_at(catalog, &heartbeat.address).into_iter();
         commands.extend(replaced.map(|id| Command::SetState {
             id,
             state: InstanceState::Gone,
         }));
     }
-    addresses.note(&beat.address, &beat.id);
+    addresses.record(&heartbeat.address, &heartbeat.id);
     commands.push(Command::Register(instance));
     commands
 }
 
-pub(crate) fn freed(ownership: &ShardOwnership, shard: usize, handover: String) -> FreedShard {
+pub(crate) fn freed_shard(
+    ownership: &ShardOwnership,
+    shard: usize,
+    handover: String,
+) -> FreedShard {
     FreedShard {
         shard: shard as u16,
         fence: ownership.shards()[shard].fence,
@@ -49,13 +54,13 @@
     }
 }
 
-/// Whether a server drains or has ended.
-pub(crate) fn is_leaving(catalog: &Catalog, beat: &Heartbeat) -> bool {
-    let known = catalog.instance(&beat.id);
-    beat.draining || known.is_some_and(|instance| instance.state != InstanceState::Ready)
+/// Whether a server is draining or gone.
+pub(crate) fn is_leaving(catalog: &Catalog, heartbeat: &Heartbeat) -> bool {
+    let known = catalog.instance(&heartbeat.id);
+    heartbeat.draining || known.is_some_and(|instance| instance.state != InstanceState::Ready)
 }
 
-/// Whether a server must give its shards away: it leaves, or its zone is evacuated.
-pub(crate) fn must_release(catalog: &Catalog, beat: &Heartbeat) -> bool {
-    is_leaving(catalog, beat) || catalog.evacuated_zones().contains(&beat.zone)
+/// Whether a server must give up its shards because it is leaving or because its zone is evacuated.
+pub(crate) fn must_release(catalog: &Catalog, heartbeat: &Heartbeat) -> bool {
+    is_leaving(catalog, heartbeat) || catalog.evacuated_zones().contains(&heartbeat.zone)
 }
--- a/crates/grants/src/rows.rs
+++ b/crates/grants/src/rows.rs
@@ -1,37 +1,38 @@
-//! The rows of an answer to a heartbeat, and what it has room for.
+//! Builds the rows of a heartbeat response and keeps them within its size limit.
 
 use grebepin_catalog::{InstanceId, KeyRow, ShardOwnership, KEYS_PER_SHARD};
 
 use crate::heartbeat::Heartbeat;
-use crate::placement::MAXIMUM_ROWS;
+use crate::placement::MAX_ROWS;
 use crate::server::Server;
 
-/// Bytes of rows that an answer may hold, and those of one row without its handover.
-const ANSWER_BYTES: usize = 3_800;
+/// Limit on the bytes of all rows in a response, and the bytes of one row without its handover text.
+const RESPONSE_BYTES: usize = 3_800;
 
 const ROW_BYTES: usize = 23;
 
-/// Rows of the server's shards that it is not releasing; a handover only until it was taken.
+/// Rows of the server's shards that it isn't releasing. A handover text is included only until the
+/// server reports that it holds the shard.
 pub(crate) fn granted_rows(
     ownership: &ShardOwnership,
     server: &Server,
-    beat: &Heartbeat,
+    heartbeat: &Heartbeat,
 ) -> Vec<KeyRow> {
     let granted = ownership
-        .owned_by(&beat.id)
+        .owned_by(&heartbeat.id)
         .filter(|shard| !server.releasing.contains_key(shard));
-    let (taken, new): (Vec<usize>, Vec<usize>) =
-        granted.partition(|shard| beat.fence_of(*shard) == Some(ownership.shards()[*shard].fence));
+    let (taken, new): (Vec<usize>, Vec<usize>) = granted
+        .partition(|shard| heartbeat.fence_of(*shard) == Some(ownership.shards()[*shard].fence));
     let mut rows = ownership.rows(taken.into_iter());
     for row in &mut rows {
         row.handover.clear();
     }
     rows.extend(ownership.rows(new.into_iter()));
-    fit_into_answer(&mut rows);
+    drop_handovers_beyond_limit(&mut rows);
     rows
 }
 
-/// Tells a server to release what an answer has no room to list, as after many small moves.
+/// Withholds the shards whose rows exceed the limit of a response, which happens after many small moves.
 pub(crate) fn withhold_surplus(
     ownership: &ShardOwnership,
     server: &mut Server,
@@ -43,7 +44,7 @@
         .filter(|shard| !server.releasing.contains_key(shard))
         .collect();
     let rows = ownership.rows(kept.iter().copied());
-    let Some(first_surplus) = rows.get(MAXIMUM_ROWS) else {
+    let Some(first_surplus) = rows.get(MAX_ROWS) else {
         return;
     };
     let is_surplus = |shard: &&usize| **shard as u32 * KEYS_PER_SHARD >= first_surplus.from;
@@ -53,10 +54,10 @@
         .extend(surplus.map(|shard| (*shard, sequence)));
 }
 
-/// Keeps the rows within what an answer may hold: a handover that is left out only makes the keys
-/// slow for a while.
-fn fit_into_answer(rows: &mut [KeyRow]) {
-    let mut left = ANSWER_BYTES.saturating_sub(rows.len() * ROW_BYTES);
+/// Drops handover texts that would exceed the limit of a response. A server without the text starts cold
+/// for these keys, which makes them slow for a while.
+fn drop_handovers_beyond_limit(rows: &mut [KeyRow]) {
+    let mut left = RESPONSE_BYTES.saturating_sub(rows.len() * ROW_BYTES);
     for row in rows {
         match row.handover.len() <= left {
             true => left -= row.handover.len(),
--- a/crates/grants/src/shares.rs
+++ b/crates/grants/src/shares.rs
@@ -1,70 +1,70 @@
-//! How much load each server of a service should own, by what it can take.
+//! Share of a service's load that each server should own, by capacity.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use grebepin_catalog::{InstanceId, ShardOwnership};
 
-use crate::load::LoadBook;
-use crate::rate::RATE_MEMORY;
+use crate::load::LoadTracker;
+use crate::rate::RATE_TIME_CONSTANT;
 use crate::transfer::Receiver;
 
-/// Part of a capacity below which a server has no reason to give shards away.
-const BUSY_PART: f64 = 0.45;
+/// Fraction of its capacity below which no load is moved away from a server.
+const BUSY_FRACTION: f64 = 0.45;
 
-/// Excess over its share, as a part, that a busy server may keep.
+/// Excess over its share, as a fraction, that a busy server may keep.
 const TOLERATED_EXCESS: f64 = 0.2;
 
-/// Part of a server's capacity above which one shard alone counts as heavy for it.
-const HEAVY_PART: f64 = 0.5;
+/// Fraction of a server's capacity above which a single shard counts as heavy for it.
+const HEAVY_FRACTION: f64 = 0.5;
 
-/// How much faster a server must be to take over a heavy shard.
-const FASTER_FACTOR: f64 = 1.3;
+/// Factor by which a receiver must be faster to take over a heavy shard.
+const MIN_SPEEDUP: f64 = 1.3;
 
-/// Standard deviations of a count of requests that an excess must be above.
-const CHANCE_DEVIATIONS: f64 = 2.0;
+/// Standard deviations of a request count that an excess must be above.
+const MIN_EXCESS_DEVIATIONS: f64 = 2.0;
 
-/// Part of an excess that is given away at once.
-const GIVEN_PART: f64 = 0.8;
+/// Fraction of an excess that is moved at once.
+const MOVED_FRACTION: f64 = 0.8;
 
-/// Part of a server's load that moves when it takes no requests: the rest is spread over many shards that nobody asks for
-/// meanwhile.
-const ASKED_PART: f64 = 0.95;
+/// Fraction of its load that is moved away from a server that accepts no requests for a time; the rest
+/// is spread over many shards with hardly any requests.
+const REQUESTED_FRACTION: f64 = 0.95;
 
-/// Most runs of neighbouring shards that a busy server gives away at once.
-const GIVEN_AT_ONCE: usize = 20;
+/// Limit on the runs of neighbouring shards that are moved away from a busy server at once.
+const MAX_RUNS_AT_ONCE: usize = 20;
 
-/// The division of one service's load at a moment.
+/// Shares of one service's load at one time.
 #[derive(Debug)]
 pub(crate) struct Shares {
     weights: Vec<f64>,
-    /// What each server that can take shards should own, in the weights' unit.
+    /// Load that each server that can take shards should own, in the unit of the weights.
     shares: BTreeMap<InstanceId, f64>,
     capacities: BTreeMap<InstanceId, f64>,
-    /// What a server that came since should own.
+    /// Share of a server that has registered since.
     mean_share: f64,
 }
 
 impl Shares {
-    /// Divides the load of a service among servers in proportion to their capacities. One of which
-    /// nothing is known counts as the mean of the others.
+    /// Distributes the load of a service among servers in proportion to their capacities. A server whose
+    /// capacity is unknown is assumed to have the mean capacity of the others.
     pub(crate) fn new(
         now: Duration,
-        book: &LoadBook,
+        load: &LoadTracker,
         service: &str,
         servers: &[&InstanceId],
     ) -> Self {
-        let weights = book.weights(now, service);
+        let weights = load.weights(now, service);
         let known: Vec<f64> = servers
             .iter()
-            .filter_map(|id| book.capacity(now, id))
+            .filter_map(|id| load.capacity(now, id))
             .filter(|capacity| *capacity > 0.0)
             .collect();
         let mean = match known.is_empty() {
             true => 1.0,
             false => known.iter().sum::<f64>() / known.len() as f64,
         };
-        let capacity = |id: &InstanceId| book.capacity(now, id).unwrap_or(mean);
+        let capacity = |id: &InstanceId| load.capacity(now, id).unwrap_or(mean);
         let capacities: BTreeMap<InstanceId, f64> = servers
             .iter()
             .map(|id| ((*id).clone(), capacity(id)))
@@ -88,20 +88,21 @@
         self.weights.get(shard).copied().unwrap_or_default()
     }
 
-    /// Load of a server's shards.
+    /// Load of all shards that a server owns.
     pub(crate) fn owned(&self, ownership: &ShardOwnership, id: &InstanceId) -> f64 {
         ownership.owned_by(id).map(|shard| self.weight(shard)).sum()
     }
 
-    /// What a server may still take.
-    pub(crate) fn room(&self, ownership: &ShardOwnership, id: &InstanceId) -> f64 {
+    /// Load that a server can still take over; negative when it owns more than its share.
+    pub(crate) fn headroom(&self, ownership: &ShardOwnership, id: &InstanceId) -> f64 {
         let share = self.shares.get(id).copied().unwrap_or(self.mean_share);
         share - self.owned(ownership, id)
     }
 
-    /// Shards that a busy server should give away, so that others with room take them. The busiest
-    /// runs that fit its excess go first: few moves carry much load. One whose capacity `is_stated` turns the rest away, so
-    /// all of its excess goes at once; where the capacity is an estimate, a part goes and the next look corrects it.
+    /// Runs of shards to move away from a server that owns more load than its share. The busiest runs
+    /// that fit the excess go first, so that few moves carry much load. When the capacity is a stated
+    /// rate (`is_stated`), requests above it are refused, so the whole excess is moved at once. When it
+    /// is an estimate, a part is moved and the next estimate corrects the rest.
     pub(crate) fn excess(
         &self,
         ownership: &ShardOwnership,
@@ -112,32 +113,35 @@
             return Vec::new();
         };
         let owned = self.owned(ownership, id);
-        if owned < capacity * BUSY_PART || owned < share * (1.0 + TOLERATED_EXCESS) {
+        if owned < capacity * BUSY_FRACTION || owned < share * (1.0 + TOLERATED_EXCESS) {
             return Vec::new();
         }
-        // Requests that came by chance are no reason to move: their number varies with its root.
-        let memory = RATE_MEMORY.as_secs_f64();
-        if (owned - share) * memory < CHANCE_DEVIATIONS * (share * memory).sqrt() {
+        // Ignores an excess within random variation: the standard deviation of a request count is its
+        // square root.
+        let time_constant = RATE_TIME_CONSTANT.as_secs_f64();
+        if (owned - share) * time_constant < MIN_EXCESS_DEVIATIONS * (share * time_constant).sqrt()
+        {
             return Vec::new();
         }
         let (part, most) = match is_stated {
             true => (1.0, usize::MAX),
-            false => (GIVEN_PART, GIVEN_AT_ONCE),
+            false => (MOVED_FRACTION, MAX_RUNS_AT_ONCE),
         };
         let left = (owned - share) * part;
-        let runs = self.fitting(left, runs_of(ownership.owned_by(id)), most);
+        let runs = self.busiest_within(left, runs_of(ownership.owned_by(id)), most);
         if !runs.is_empty() {
             return runs;
         }
-        // Every run is too busy as a whole: its quieter shards go one by one, at the price of more rows.
+        // Every run is too busy as a whole, so single shards are moved, at the cost of more rows.
         let single = ownership.owned_by(id).map(|shard| vec![shard]).collect();
-        self.fitting(left, single, GIVEN_AT_ONCE)
+        self.busiest_within(left, single, MAX_RUNS_AT_ONCE)
     }
 
-    /// Shards that a server which takes no requests for a time should give away: all but those that are hardly asked for.
+    /// Shards to move away from a server that accepts no requests for a time: all but those with hardly
+    /// any requests.
     pub(crate) fn busy_runs(&self, ownership: &ShardOwnership, id: &InstanceId) -> Vec<Vec<usize>> {
-        let asked = self.owned(ownership, id) * ASKED_PART;
-        self.fitting(asked, runs_of(ownership.owned_by(id)), usize::MAX)
+        let asked = self.owned(ownership, id) * REQUESTED_FRACTION;
+        self.busiest_within(asked, runs_of(ownership.owned_by(id)), usize::MAX)
     }
 
     /// Answers a second that a server can give.
@@ -145,25 +149,30 @@
         self.capacities.get(id).copied().unwrap_or_default()
     }
 
-    /// The shard that alone keeps a server busy, so that it belongs to a faster one if there is any.
-    pub(crate) fn misplaced(&self, ownership: &ShardOwnership, id: &InstanceId) -> Option<usize> {
+    /// Shard that alone uses much of a server's capacity and should move to a faster server, if there is
+    /// one.
+    pub(crate) fn overloading_shard(
+        &self,
+        ownership: &ShardOwnership,
+        id: &InstanceId,
+    ) -> Option<usize> {
         let heaviest = ownership
             .owned_by(id)
             .max_by(|one, other| self.weight(*one).total_cmp(&self.weight(*other)))?;
-        let is_heavy = self.weight(heaviest) > self.capacity(id) * HEAVY_PART;
+        let is_heavy = self.weight(heaviest) > self.capacity(id) * HEAVY_FRACTION;
         is_heavy.then_some(heaviest)
     }
 
-    /// The fastest of some receivers, if it is clearly faster than a heavy shard's owner and owns no
-    /// heavy one itself; its place in the list.
-    pub(crate) fn better_for(
+    /// Index of the fastest receiver that is clearly faster than the owner of a heavy shard and owns no
+    /// heavy shard itself.
+    pub(crate) fn faster_receiver(
         &self,
         shard: usize,
         ownership: &ShardOwnership,
         owner: &InstanceId,
         receivers: &[Receiver],
     ) -> Option<usize> {
-        let least = self.capacity(owner) * FASTER_FACTOR;
+        let least = self.capacity(owner) * MIN_SPEEDUP;
         let weight = self.weight(shard);
         let candidates = receivers.iter().enumerate();
         let faster = candidates
@@ -184,26 +193,31 @@
         run.iter().map(|shard| self.weight(*shard)).sum()
     }
 
-    /// The busiest runs whose load together is at most `left`, and no more than `most`.
-    fn fitting(&self, mut left: f64, mut runs: Vec<Vec<usize>>, most: usize) -> Vec<Vec<usize>> {
+    /// The busiest runs whose total load is at most `left`, and at most `most` of them.
+    fn busiest_within(
+        &self,
+        mut left: f64,
+        mut runs: Vec<Vec<usize>>,
+        most: usize,
+    ) -> Vec<Vec<usize>> {
         runs.sort_by(|one, other| self.weight_of(other).total_cmp(&self.weight_of(one)));
-        let mut given = Vec::new();
+        let mut selected = Vec::new();
         for run in runs {
-            if given.len() >= most {
+            if selected.len() >= most {
                 break;
             }
             let weight = self.weight_of(&run);
             if weight <= left {
                 left -= weight;
-                given.push(run);
+                selected.push(run);
             }
         }
-        given
+        selected
     }
 }
 
-/// Groups shards that stand in order into runs of neighbours: an answer lists each run as a row, and
-/// moving a whole one leaves the giver with fewer.
+/// Groups shards, which must be in ascending order, into runs of neighbours. A response lists each run
+/// as one row, so moving a whole run leaves the previous owner with fewer rows.
 pub(crate) fn runs_of(shards: impl Iterator<Item = usize>) -> Vec<Vec<usize>> {
     let mut runs: Vec<Vec<usize>> = Vec::new();
     for shard in shards {
--- a/crates/grants/src/timing.rs
+++ b/crates/grants/src/timing.rs
@@ -1,50 +1,51 @@
-//! Durations that a group agrees on.
+//! Durations that all replicas of a group share.
 
 use std::time::Duration;
 
-/// Most by which a server's clock runs slow, in percent of true time.
-const SLOW_CLOCK_PERCENT: u32 = 2;
+/// Largest drift by which a server's clock may run slow, in percent.
+const MAX_CLOCK_DRIFT_PERCENT: u32 = 2;
 
-/// Allowance for the leader's own clock and rounding.
-const MARGIN: Duration = Duration::from_millis(20);
+/// Allowance for drift of the leader's own clock and for rounding.
+const LEASE_END_MARGIN: Duration = Duration::from_millis(20);
 
-/// Longest time in which an answer that an earlier leader sent can still be taken by a server.
-const ANSWER_LIFETIME: Duration = Duration::from_millis(1_500);
+/// Longest time for which a response of an earlier leader can still reach a server and be accepted.
+const RESPONSE_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// Durations of the leases.
+/// Durations of leases and timeouts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Length of a lease, counted by the server from sending its heartbeat. The same in the whole
-    /// group, so that a new leader can bound the leases that others gave.
+    /// Duration of a lease, counted by the server from the moment it sends a heartbeat. Must be equal in
+    /// the whole group, so that a new leader can bound the leases granted by earlier ones.
     pub lease: Duration,
-    /// Time between two heartbeats of one server.
+    /// Interval between heartbeats of one server.
     pub heartbeat_interval: Duration,
-    /// Time over which a draining server gives its shards back.
+    /// Time over which a draining server's shards are moved away.
     pub drain_window: Duration,
-    /// Time over which the servers of an evacuated zone give their shards back.
+    /// Time over which the shards of an evacuated zone's servers are moved away.
     pub evacuation_window: Duration,
-    /// Silence after which a server without a lease counts as ended.
+    /// Silence after which a server without a lease is marked as gone.
     pub server_timeout: Duration,
 }
 
 impl Timing {
-    /// When a lease that was given at `now` has certainly ended.
+    /// Latest time at which a lease granted at `now` can end, by the leader's clock.
     pub fn lease_end(&self, now: Duration) -> Duration {
-        now + self.lease * 100 / (100 - SLOW_CLOCK_PERCENT) + MARGIN
+        now + self.lease * 100 / (100 - MAX_CLOCK_DRIFT_PERCENT) + LEASE_END_MARGIN
     }
 
-    /// Time that servers get to show up before a service's first shards are divided.
+    /// Time from a service's first heartbeat until its shards are first assigned, so that more servers
+    /// can register before that.
     pub fn settling_time(&self) -> Duration {
         self.heartbeat_interval * 3 / 2
     }
 
-    /// Time after which no answer of an earlier leader is taken any more.
-    pub(crate) fn answer_lifetime(&self) -> Duration {
-        ANSWER_LIFETIME
+    /// Time after a change of leader from which no response of an earlier leader is accepted any more.
+    pub(crate) fn response_lifetime(&self) -> Duration {
+        RESPONSE_LIFETIME
     }
 
-    /// Silence within which a server counts as able to take shards.
-    pub(crate) fn recent(&self) -> Duration {
+    /// Longest time since its last heartbeat for which a server may be assigned shards.
+    pub(crate) fn max_silence(&self) -> Duration {
         self.heartbeat_interval * 5 / 2
     }
 }
--- a/crates/grants/tests/division/mod.rs
+++ b/crates/grants/tests/division/mod.rs
@@ -1,4 +1,4 @@
-//! A service whose shards are divided among servers over rounds of heartbeats.
+//! A service whose shards are distributed among servers over rounds of heartbeats.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     InstanceId::new(&format!("i-{number}"))
 }
 
-pub fn beat(number: usize, sequence: u64) -> Heartbeat {
-    support::beat(&id(number), number as u64, sequence)
+pub fn heartbeat(number: usize, sequence: u64) -> Heartbeat {
+    support::heartbeat(&id(number), number as u64, sequence)
 }
 
 pub fn commands(outcome: HeartbeatOutcome) -> Vec<Command> {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Lets each server beat once: in turn, over half a heartbeat, or all at one moment when `together`; then
-/// their commands are applied at once, as under load.
+/// Sends one heartbeat of each server: in turn, over half an interval, or all at one time when
+/// `together`. In that case their commands are applied together afterwards, as under load.
 pub fn round(
     coordinator: &mut Coordinator,
     catalog: &mut Catalog,
@@ -58,7 +58,7 @@
         false => now + timing().heartbeat_interval * number as u32 / (2 * count as u32),
     };
     for number in 0..count {
-        let outcome = coordinator.on_heartbeat(at(number), catalog, &beat(number, sequence));
+        let outcome = coordinator.on_heartbeat(at(number), catalog, &heartbeat(number, sequence));
         let one = commands(outcome);
         if !together {
             one.iter().for_each(|command| _ = catalog.apply(command));
@@ -69,7 +69,7 @@
         all.iter().for_each(|command| _ = catalog.apply(command));
     }
     for number in 0..count {
-        let grant = coordinator.grant(at(number), catalog, &beat(number, sequence));
+        let grant = coordinator.grant(at(number), catalog, &heartbeat(number, sequence));
         assert!(
             grant.is_some(),
             "a server of a sharded service gets a grant"
@@ -78,7 +78,7 @@
     all
 }
 
-/// A service whose shards were divided among so many servers, over seven rounds of heartbeats.
+/// A service whose shards were distributed among `count` servers over seven rounds of heartbeats.
 pub fn divided(count: usize) -> (Coordinator, Catalog) {
     let (mut coordinator, mut catalog) = (Coordinator::new(timing(), ms(0)), catalog());
     for sequence in 1..8 {
--- a/crates/grants/tests/exclusive.rs
+++ b/crates/grants/tests/exclusive.rs
@@ -1,5 +1,5 @@
-//! Nobody holds a shard that another holds: a model of servers, slow clocks, late heartbeats, late
-//! answers and changes of leader, on a virtual clock with fixed seeds.
+//! At most one server holds a shard: a model of servers with slow clocks, late heartbeats, late
+//! responses and changes of leader, on a virtual clock with fixed seeds.
 
 mod model;
 #[allow(dead_code, reason = "each test file uses a part")]
@@ -10,15 +10,15 @@
 use model::{Fleet, Settings};
 
 const SEEDS: std::ops::Range<u64> = 0..24;
-const DAY: Duration = Duration::from_secs(30);
+const RUN_TIME: Duration = Duration::from_secs(30);
 
-/// Plays every seed: no shard has two holders, and shards are held at all.
+/// Runs every seed and checks that no shard has two holders and that shards are held at all.
 fn assert_exclusive(settings: Settings) {
     for seed in SEEDS {
         let mut fleet = Fleet::new(seed, settings);
-        fleet.run(DAY);
+        fleet.run(RUN_TIME);
         assert_eq!(fleet.overlaps, Vec::new(), "seed {seed}");
-        assert!(fleet.granted > 0, "seed {seed}: nothing was ever held");
+        assert!(fleet.held_shards > 0, "seed {seed}: nothing was ever held");
     }
 }
 
@@ -27,17 +27,17 @@
     assert_exclusive(Settings::default());
 }
 
-/// Servers acknowledge no answer over 4 KiB, so one that grew past that would renew nothing.
+/// Servers reject responses over 4 KiB, so a larger response would renew no lease.
 #[test]
-fn moves_for_load_keep_shards_exclusive_and_answers_small() {
+fn moves_for_load_keep_shards_exclusive_and_responses_small() {
     for seed in SEEDS.take(15) {
         let mut fleet = Fleet::new(seed, Settings::moving_load());
-        fleet.run(DAY);
+        fleet.run(RUN_TIME);
         assert_eq!(fleet.overlaps, Vec::new(), "seed {seed}");
         assert!(
-            fleet.largest_answer < 3_900,
+            fleet.largest_response < 3_900,
             "seed {seed}: {}",
-            fleet.largest_answer
+            fleet.largest_response
         );
     }
 }
@@ -45,65 +45,67 @@
 #[test]
 fn most_shards_have_a_holder_most_of_the_time() {
     for seed in SEEDS.take(10) {
-        let mut fleet = Fleet::new(seed, Settings::calm());
-        fleet.run(DAY);
+        let mut fleet = Fleet::new(seed, Settings::stable());
+        fleet.run(RUN_TIME);
         assert_eq!(fleet.overlaps, Vec::new(), "seed {seed}");
         assert!(
-            fleet.held_part() > 0.97,
+            fleet.held_fraction() > 0.97,
             "seed {seed}: {}",
-            fleet.held_part()
+            fleet.held_fraction()
         );
     }
 }
 
-/// What one life of a server holds is never granted to the next, or to others, before its lease is over.
+/// Shards held by a server before a restart aren't granted to the restarted one, or to others, before
+/// the earlier lease has expired.
 #[test]
 fn restarts_under_the_same_name_leave_no_shard_with_two_holders() {
     assert_exclusive(Settings::restarts());
 }
 
-/// A restart costs the shards of one server of twelve for a lease of 4.1 s and, at most, the 1.3 s to another's
-/// heartbeat: with one each 3 s in the mean that is 0.15 of the time.
+/// A restart leaves the shards of one of twelve servers without a holder for a lease of 4.1 s and at
+/// most 1.3 s until another server's heartbeat. With a restart every 3 s on average that is 0.15 of the
+/// time.
 #[test]
-fn a_restart_costs_no_more_than_the_lease_of_the_life_before() {
+fn a_restart_costs_no_more_than_the_lease_of_the_earlier_incarnation() {
     let mut held = 0.0;
     for seed in SEEDS {
-        let mut fleet = Fleet::new(seed, Settings::calm_with_restarts());
-        fleet.run(DAY);
+        let mut fleet = Fleet::new(seed, Settings::stable_with_restarts());
+        fleet.run(RUN_TIME);
         assert_eq!(fleet.overlaps, Vec::new(), "seed {seed}");
-        held += fleet.held_part() / (SEEDS.end - SEEDS.start) as f64;
+        held += fleet.held_fraction() / (SEEDS.end - SEEDS.start) as f64;
     }
     assert!(held > 1.0 - 0.15, "{held}");
 }
 
-/// A moved shard has no holder from when it is let go to its receiver's next heartbeat.
+/// A moved shard has no holder from its release until its receiver's next heartbeat.
 #[test]
 fn planned_moves_leave_shards_without_a_holder_only_briefly() {
     for (name, settings, least) in [
-        ("load", Settings::calm_with_moving_load(), 0.997),
-        ("drains", Settings::calm_with_drains(), 0.985),
+        ("load", Settings::stable_with_moving_load(), 0.997),
+        ("drains", Settings::stable_with_drains(), 0.985),
     ] {
         let mut held = 0.0;
         for seed in SEEDS.take(10) {
             let mut fleet = Fleet::new(seed, settings);
-            fleet.run(DAY);
+            fleet.run(RUN_TIME);
             assert_eq!(fleet.overlaps, Vec::new(), "{name}, seed {seed}");
-            held += fleet.held_part() / 10.0;
+            held += fleet.held_fraction() / 10.0;
         }
         assert!(held > least, "{name}: {held}");
     }
 }
 
-/// The checker can fail: each guard, taken out of the model's leader, leads to two holders.
+/// Checks the checker: without each safeguard of the model's leader, some shard gets two holders.
 #[test]
-fn each_guard_taken_out_is_noticed() {
+fn each_disabled_safeguard_is_detected() {
     let cases = [
         (
             "a new leader does not bound earlier leases",
-            Settings::forgetful_leader(),
+            Settings::without_bound_on_earlier_leases(),
         ),
         (
-            "servers' clocks are slower than stated",
+            "servers' clocks run slower than allowed",
             Settings::too_slow_clocks(),
         ),
         (
@@ -112,11 +114,11 @@
         ),
     ];
     for (name, settings) in cases {
-        let noticed = SEEDS.into_iter().any(|seed| {
+        let detected = SEEDS.into_iter().any(|seed| {
             let mut fleet = Fleet::new(seed, settings);
-            fleet.run(DAY);
+            fleet.run(RUN_TIME);
             !fleet.overlaps.is_empty()
         });
-        assert!(noticed, "{name}");
+        assert!(detected, "{name}");
     }
 }
--- a/crates/grants/tests/model/mod.rs
+++ b/crates/grants/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! A model of a fleet: servers that follow their interface, a network that is late, leaders that change.
+//! Model of a fleet: servers that follow the protocol, a network with delays, and changes of leader.
 //!
 //! The replicated state is a plain value: a command counts as committed once it is applied to it.
 
@@ -18,28 +18,28 @@
 const TICK: Duration = Duration::from_millis(100);
 const SERVERS: usize = 12;
 
-/// What the model does to the fleet.
+/// Faults and load of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Longest time that a heartbeat is under way.
+    /// Longest delay of a heartbeat in the network.
     heartbeat_delay: Duration,
-    /// Longest time that an answer is under way.
-    answer_delay: Duration,
-    /// Part by which servers' clocks are slow.
+    /// Longest delay of a response in the network.
+    response_delay: Duration,
+    /// Fraction by which servers' clocks run slow at most.
     slow_clock: f64,
     /// Mean time between two changes of leader; zero for none.
     leader_every: Duration,
-    /// Mean time between two ends of a server.
+    /// Mean time between two servers that crash or drain; zero for none.
     crash_every: Duration,
-    /// Mean time between two restarts of a server under the name that it had; zero for none.
+    /// Mean time between two restarts of a server under its earlier name; zero for none.
     restart_every: Duration,
-    /// Whether servers end only as planned.
+    /// Whether servers only drain and never crash.
     only_drains: bool,
-    /// Load that the gateways tell of.
+    /// Whether gateways report load that is uneven among shards and servers.
     pub skewed_load: bool,
-    /// Whether a new leader takes earlier leases into account.
+    /// Whether a new leader takes leases of earlier leaders into account.
     bounds_earlier_leases: bool,
-    /// Whether an earlier leader goes on granting after its successor began.
+    /// Whether an earlier leader keeps granting after its successor began.
     two_leaders: bool,
 }
 
@@ -47,7 +47,7 @@
     fn default() -> Self {
         Self {
             heartbeat_delay: Duration::from_millis(3_000),
-            answer_delay: Duration::from_millis(900),
+            response_delay: Duration::from_millis(900),
             slow_clock: 0.02,
             leader_every: Duration::from_secs(7),
             crash_every: Duration::from_secs(4),
@@ -61,32 +61,32 @@
 }
 
 impl Settings {
-    pub fn calm() -> Self {
+    pub fn stable() -> Self {
         Self {
             heartbeat_delay: Duration::from_millis(20),
-            answer_delay: Duration::from_millis(20),
+            response_delay: Duration::from_millis(20),
             leader_every: Duration::ZERO,
             crash_every: Duration::ZERO,
             ..Self::default()
         }
     }
 
-    pub fn calm_with_moving_load() -> Self {
+    pub fn stable_with_moving_load() -> Self {
         Self {
             skewed_load: true,
-            ..Self::calm()
+            ..Self::stable()
         }
     }
 
-    pub fn calm_with_drains() -> Self {
+    pub fn stable_with_drains() -> Self {
         Self {
             crash_every: Duration::from_secs(2),
             only_drains: true,
-            ..Self::calm()
+            ..Self::stable()
         }
     }
 
-    /// Servers crash and are back at once under their names, besides everything else.
+    /// Servers crash and restart at once under their names, besides all other faults.
     pub fn restarts() -> Self {
         Self {
             restart_every: Duration::from_millis(700),
@@ -95,10 +95,10 @@
         }
     }
 
-    pub fn calm_with_restarts() -> Self {
+    pub fn stable_with_restarts() -> Self {
         Self {
             restart_every: Duration::from_secs(3),
-            ..Self::calm()
+            ..Self::stable()
         }
     }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    pub fn forgetful_leader() -> Self {
+    pub fn without_bound_on_earlier_leases() -> Self {
         Self {
             bounds_earlier_leases: false,
             ..Self::default()
@@ -142,7 +142,7 @@
     },
 }
 
-/// The fleet.
+/// A running model.
 pub struct Fleet {
     settings: Settings,
     random: SmallRng,
@@ -153,13 +153,13 @@
     servers: Vec<ModelServer>,
     network: Vec<(Duration, Message)>,
     started: u64,
-    /// Shards that two held at once: time, shard, holders.
+    /// Shards held by two servers at once: time, shard, holders.
     pub overlaps: Vec<(Duration, usize, Vec<InstanceId>)>,
     /// Shards held, summed over steps.
-    pub granted: u64,
+    pub held_shards: u64,
     steps: u64,
-    /// Most bytes that the rows of one answer took.
-    pub largest_answer: usize,
+    /// Most bytes that the rows of one response took.
+    pub largest_response: usize,
 }
 
 impl Fleet {
@@ -175,9 +175,9 @@
             network: Vec::new(),
             started: 0,
             overlaps: Vec::new(),
-            granted: 0,
+            held_shards: 0,
             steps: 0,
-            largest_answer: 0,
+            largest_response: 0,
         };
         for _ in 0..SERVERS {
             fleet.start_server();
@@ -185,8 +185,8 @@
         fleet
     }
 
-    pub fn run(&mut self, day: Duration) {
-        while self.now < day && self.overlaps.is_empty() {
+    pub fn run(&mut self, duration: Duration) {
+        while self.now < duration && self.overlaps.is_empty() {
             self.now += STEP;
             self.change_leader();
             self.change_servers();
@@ -201,12 +201,12 @@
         }
     }
 
-    /// Part of all shards that had a holder, after the first tenth of the time.
-    pub fn held_part(&self) -> f64 {
-        self.granted as f64 / (self.steps as f64 * SHARDS as f64)
+    /// Fraction of all shards that had a holder, after the first 6 s.
+    pub fn held_fraction(&self) -> f64 {
+        self.held_shards as f64 / (self.steps as f64 * SHARDS as f64)
     }
 
-    /// Tells the leader of load that is uneven among shards and servers.
+    /// Reports load that is uneven among shards and servers to the leader.
     fn report_load(&mut self) {
         if !self.settings.skewed_load || !self.now.as_millis().is_multiple_of(1_000) {
             return;
@@ -235,7 +235,7 @@
     }
 
     fn delay(&mut self, longest: Duration) -> Duration {
-        // Most are fast, few are very late.
+        // Most messages are fast, few are very late.
         let part = self.random.random::<f64>();
         longest.mul_f64(part * part * part * part)
     }
@@ -290,56 +290,57 @@
         self.network = later;
         for (_, message) in due {
             match message {
-                Message::Heartbeat(beat) => self.take_heartbeat(&beat),
+                Message::Heartbeat(heartbeat) => self.receive_heartbeat(&heartbeat),
                 Message::Answer { to, sent, grant } => {
                     let server = self.servers.iter_mut().find(|server| server.id == to);
                     if let Some(server) = server {
-                        server.take_answer(now, sent, grant);
+                        server.receive_response(now, sent, grant);
                     }
                 }
             }
         }
     }
 
-    fn take_heartbeat(&mut self, beat: &Heartbeat) {
+    fn receive_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let to_earlier = self.earlier_leader.is_some() && self.random.random::<f64>() < 0.5;
         let leader = match (&mut self.earlier_leader, to_earlier) {
             (Some(earlier), true) => earlier,
             _ => &mut self.leader,
         };
-        let outcome = leader.on_heartbeat(self.now, &self.catalog, beat);
+        let outcome = leader.on_heartbeat(self.now, &self.catalog, heartbeat);
         let grant = match outcome {
             HeartbeatOutcome::Stale => None,
             HeartbeatOutcome::Fresh(commands) => {
                 for command in &commands {
                     self.catalog.apply(command);
                 }
-                leader.grant(self.now, &self.catalog, beat)
+                leader.grant(self.now, &self.catalog, heartbeat)
             }
         };
         if let Some(grant) = &grant {
-            self.largest_answer = self.largest_answer.max(answer_bytes(grant));
+            self.largest_response = self.largest_response.max(response_bytes(grant));
         }
-        let delay = self.delay(self.settings.answer_delay);
-        let sent = self.servers.iter().find(|server| server.id == beat.id);
-        let Some(sent) = sent.and_then(|server| server.sent_at(beat.sequence)) else {
+        let delay = self.delay(self.settings.response_delay);
+        let sent = self.servers.iter().find(|server| server.id == heartbeat.id);
+        let Some(sent) = sent.and_then(|server| server.sent_at(heartbeat.sequence)) else {
             return;
         };
-        let to = beat.id.clone();
+        let to = heartbeat.id.clone();
         let answer = Message::Answer { to, sent, grant };
         self.network.push((self.now + delay, answer));
     }
 
     fn send_heartbeats(&mut self) {
         let now = self.now;
-        let mut beats = Vec::new();
+        let mut heartbeats = Vec::new();
         for server in &mut self.servers {
-            server.let_time_pass(now);
-            beats.extend(server.heartbeat(now));
+            server.advance(now);
+            heartbeats.extend(server.heartbeat(now));
         }
-        for beat in beats {
+        for heartbeat in heartbeats {
             let delay = self.delay(self.settings.heartbeat_delay);
-            self.network.push((now + delay, Message::Heartbeat(beat)));
+            self.network
+                .push((now + delay, Message::Heartbeat(heartbeat)));
         }
     }
 
@@ -367,13 +368,13 @@
         }
         if self.now > Duration::from_secs(6) {
             self.steps += 1;
-            self.granted += held;
+            self.held_shards += held;
         }
     }
 }
 
-/// Bytes of a grant's rows as the longest of the known dialects writes them.
-fn answer_bytes(grant: &Grant) -> usize {
+/// Bytes of a grant's rows in the longest of the supported dialects.
+fn response_bytes(grant: &Grant) -> usize {
     let rows = grant.rows.iter().map(|row| {
         format!(
             "[{},{},{},\"{}\"],",
--- a/crates/grants/tests/model/server.rs
+++ b/crates/grants/tests/model/server.rs
@@ -1,5 +1,5 @@
-//! A server as its interface describes it: holds what the last answer listed, counted from the
-//! sending of its heartbeat, by a clock that may be slow.
+//! A server that follows the protocol: it holds what the last response listed, for the duration of the
+//! lease counted from sending its heartbeat, by a clock that may run slow.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,53 +9,53 @@
 
 use crate::support::{self, timing};
 
-/// How long work on a shard that is released goes on.
-const WORK: Duration = Duration::from_millis(250);
+/// Time for which requests for a released shard keep running.
+const REQUEST_TIME: Duration = Duration::from_millis(250);
 
-/// Time between heartbeats while something is being released.
-const HURRY: Duration = Duration::from_millis(100);
+/// Time between heartbeats while shards are being released.
+const RELEASE_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a server waits for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1_000);
+/// Time for which a server waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a draining server stays.
-const DRAIN: Duration = Duration::from_secs(5);
+/// Time for which a draining server keeps running.
+const DRAIN_TIME: Duration = Duration::from_secs(5);
 
-/// One server.
+/// A server of the model.
 #[derive(Debug)]
 pub struct ModelServer {
     pub id: InstanceId,
     number: u64,
-    /// How often it started.
+    /// Number of its starts under this name.
     starts: u64,
     /// Rate of its clock, 1 at most.
     rate: f64,
     sequence: u64,
     sent: BTreeMap<u64, Duration>,
-    next_beat: Duration,
+    next_heartbeat: Duration,
     draining: bool,
     leaves_at: Option<Duration>,
-    /// Shards held with their fences.
+    /// Shards held, with their fences.
     held: BTreeMap<usize, u64>,
     lease_end: Duration,
-    /// Shards on which work goes on after they were taken away, each with its end.
+    /// Shards that were taken away while requests for them are running, with the end of these.
     releasing: BTreeMap<usize, (u64, Duration)>,
     freed: BTreeSet<usize>,
     highest_fence: BTreeMap<usize, u64>,
-    last_answered: Duration,
+    last_response: Duration,
 }
 
 impl ModelServer {
     pub fn new(number: u64, rate: f64, now: Duration) -> Self {
-        Self::in_life(1, number, rate, now)
+        Self::with_starts(1, number, rate, now)
     }
 
-    /// The server after a crash: it goes by the same name and holds and remembers nothing.
+    /// The server after a crash: it keeps its name and has lost its state.
     pub fn restarted(&self, now: Duration) -> Self {
-        Self::in_life(self.starts + 1, self.number, self.rate, now)
+        Self::with_starts(self.starts + 1, self.number, self.rate, now)
     }
 
-    fn in_life(starts: u64, number: u64, rate: f64, now: Duration) -> Self {
+    fn with_starts(starts: u64, number: u64, rate: f64, now: Duration) -> Self {
         Self {
             id: InstanceId::started_at(&format!("i-{number}"), starts),
             number,
@@ -63,7 +63,7 @@
             rate,
             sequence: 0,
             sent: BTreeMap::new(),
-            next_beat: now + Duration::from_millis(number * 210 % 1_300),
+            next_heartbeat: now + Duration::from_millis(number * 210 % 1_300),
             draining: false,
             leaves_at: None,
             held: BTreeMap::new(),
@@ -71,7 +71,7 @@
             releasing: BTreeMap::new(),
             freed: BTreeSet::new(),
             highest_fence: BTreeMap::new(),
-            last_answered: Duration::ZERO,
+            last_response: Duration::ZERO,
         }
     }
 
@@ -87,16 +87,17 @@
         self.sent.get(&sequence).copied()
     }
 
-    /// Shards that it holds or still works on.
+    /// Shards that it holds or still processes requests for.
     pub fn held(&self, now: Duration) -> impl Iterator<Item = usize> + '_ {
         let is_leased = now < self.lease_end;
         let leased = self.held.keys().copied().filter(move |_| is_leased);
         leased.chain(self.releasing.keys().copied())
     }
 
-    pub fn let_time_pass(&mut self, now: Duration) {
+    pub fn advance(&mut self, now: Duration) {
         if now >= self.lease_end {
-            // A lease that ran out is not told as released; work that outlasts it fails.
+            // Shards of an expired lease aren't reported as released; requests still running for them
+            // fail.
             self.held.clear();
             self.releasing.clear();
         }
@@ -109,22 +110,22 @@
         for shard in done {
             self.releasing.remove(&shard);
             self.freed.insert(shard);
-            self.next_beat = self.next_beat.min(now);
+            self.next_heartbeat = self.next_heartbeat.min(now);
         }
     }
 
     pub fn heartbeat(&mut self, now: Duration) -> Option<Heartbeat> {
-        if now < self.next_beat {
+        if now < self.next_heartbeat {
             return None;
         }
         if self.draining && self.leaves_at.is_none() {
-            self.leaves_at = Some(now + DRAIN);
+            self.leaves_at = Some(now + DRAIN_TIME);
         }
         let pause = match self.releasing.is_empty() {
             true => timing().heartbeat_interval,
-            false => HURRY,
+            false => RELEASE_HEARTBEAT_INTERVAL,
         };
-        self.next_beat = now + pause;
+        self.next_heartbeat = now + pause;
         self.sequence += 1;
         self.sent.insert(self.sequence, now);
         let held = self.held.iter().map(|(shard, fence)| (*shard, *fence));
@@ -134,17 +135,21 @@
             .map(|(shard, (fence, _))| (*shard, *fence));
         Some(Heartbeat {
             draining: self.draining,
-            holds: held.chain(releasing).map(held_row).collect(),
-            freed: self.freed.iter().map(|shard| freed_row(*shard)).collect(),
-            ..support::beat(&self.id, self.number, self.sequence)
+            holds: held.chain(releasing).map(held_range).collect(),
+            freed: self
+                .freed
+                .iter()
+                .map(|shard| released_range(*shard))
+                .collect(),
+            ..support::heartbeat(&self.id, self.number, self.sequence)
         })
     }
 
-    pub fn take_answer(&mut self, now: Duration, sent: Duration, grant: Option<Grant>) {
-        if now > sent + ANSWER_LIMIT || sent < self.last_answered {
+    pub fn receive_response(&mut self, now: Duration, sent: Duration, grant: Option<Grant>) {
+        if now > sent + RESPONSE_TIMEOUT || sent < self.last_response {
             return;
         }
-        self.last_answered = sent;
+        self.last_response = sent;
         self.freed.clear();
         let Some(grant) = grant else {
             return;
@@ -163,8 +168,8 @@
             .collect();
         for (shard, fence) in omitted {
             self.held.remove(&shard);
-            self.releasing.insert(shard, (fence, now + WORK));
-            self.next_beat = self.next_beat.min(now + HURRY);
+            self.releasing.insert(shard, (fence, now + REQUEST_TIME));
+            self.next_heartbeat = self.next_heartbeat.min(now + RELEASE_HEARTBEAT_INTERVAL);
         }
         for (shard, fence) in wanted {
             let highest = self.highest_fence.entry(shard).or_default();
@@ -189,13 +194,13 @@
     wanted
 }
 
-fn held_row((shard, fence): (usize, u64)) -> HeldRange {
+fn held_range((shard, fence): (usize, u64)) -> HeldRange {
     let from = shard as u32 * KEYS_PER_SHARD;
     let to = from + KEYS_PER_SHARD - 1;
     HeldRange { from, to, fence }
 }
 
-fn freed_row(shard: usize) -> ReleasedRange {
+fn released_range(shard: usize) -> ReleasedRange {
     let from = shard as u32 * KEYS_PER_SHARD;
     let to = from + KEYS_PER_SHARD - 1;
     let handover = "warm".to_owned();
--- a/crates/grants/tests/placement.rs
+++ b/crates/grants/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Who gets which shards: equal parts at first, by what servers can take later, nobody's twice.
+//! Assignment of shards: equal parts at first, later by capacity, and never one shard to two servers.
 
 mod division;
 mod support;
@@ -6,13 +6,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use division::{beat, catalog, commands, divided, id, ms, owned, owned_shards, round, timing};
+use division::{catalog, commands, divided, heartbeat, id, ms, owned, owned_shards, round, timing};
 use grebepin_catalog::{Catalog, Command, Instance, InstanceState, SHARDS};
 use grebepin_grants::{Coordinator, Heartbeat, LoadSample, ServerSample};
 use support::SERVICE;
 
 #[test]
-fn servers_that_beat_at_one_moment_are_promised_different_shards() {
+fn servers_with_simultaneous_heartbeats_are_assigned_different_shards() {
     let (mut coordinator, mut catalog) = (Coordinator::new(timing(), ms(0)), catalog());
     round(&mut coordinator, &mut catalog, ms(0), 8, 1, false);
     let all = round(&mut coordinator, &mut catalog, ms(2_000), 8, 2, true);
@@ -20,7 +20,7 @@
     for command in all {
         if let Command::AssignShards { shards, .. } = command {
             for shard in shards {
-                assert!(seen.insert(shard), "shard {shard} was promised twice");
+                assert!(seen.insert(shard), "shard {shard} was assigned twice");
             }
         }
     }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_first_division_is_about_equal_and_whole() {
+fn the_first_assignment_is_about_equal_and_complete() {
     let (_, catalog) = divided(14);
     let owned = owned(&catalog, 14);
     assert_eq!(owned.iter().sum::<usize>(), SHARDS);
@@ -44,16 +44,17 @@
 }
 
 #[test]
-fn nothing_is_divided_before_servers_had_time_to_show_up() {
+fn nothing_is_assigned_before_the_settling_time_is_over() {
     let (mut coordinator, mut catalog) = (Coordinator::new(timing(), ms(0)), catalog());
     round(&mut coordinator, &mut catalog, ms(100), 1, 1, false);
     round(&mut coordinator, &mut catalog, ms(900), 1, 2, false);
     assert!(catalog.ownership(SERVICE).is_none());
 }
 
-/// One server takes six times what the others can; it is short of nothing, they are busy.
+/// One server can process six times the load of the others. It has spare capacity, and the others are
+/// busy.
 #[test]
-fn busy_servers_give_shards_to_the_one_that_can_take_more() {
+fn shards_move_from_busy_servers_to_one_with_spare_capacity() {
     let (mut coordinator, mut catalog) = divided(4);
     let before = owned(&catalog, 4);
     for sequence in 8..40_u64 {
@@ -65,13 +66,14 @@
     assert!(after[0] > before[0] * 5 / 4, "{before:?} became {after:?}");
 }
 
-/// 40 requests a second for each server's shards; the first server runs one in 7.5 ms, the others in 90.
+/// 40 requests a second for each server's shards; a request takes the first server 7.5 ms and the others
+/// 90 ms.
 fn report(coordinator: &mut Coordinator, catalog: &Catalog, now: Duration) {
     let all = (0..SHARDS as u16).step_by(25).map(|shard| (shard, 1));
     report_shards(coordinator, catalog, now, all.collect());
 }
 
-/// The same servers, with these requests in a second.
+/// The same servers, with the given requests by shard in a second.
 fn report_shards(
     coordinator: &mut Coordinator,
     catalog: &Catalog,
@@ -93,9 +95,9 @@
     coordinator.on_load(now, catalog, &sample);
 }
 
-/// Half of all requests are for one shard of a slow server: it goes to the fast one.
+/// Half of all requests are for one shard of a slow server, which moves to the fast one.
 #[test]
-fn a_shard_that_keeps_a_slow_server_busy_goes_to_a_faster_one() {
+fn a_shard_that_overloads_a_slow_server_moves_to_a_faster_one() {
     let (mut coordinator, mut catalog) = divided(4);
     let hot = owned_shards(&catalog, 2)[0];
     for sequence in 8..16_u64 {
@@ -108,9 +110,10 @@
     assert!(owned_shards(&catalog, 0).contains(&hot));
 }
 
-/// Until its receiver's heartbeat nobody else takes a shard that was let go for it.
+/// A shard that is withheld for a receiver isn't assigned to another server before the receiver's
+/// heartbeat.
 #[test]
-fn shards_that_are_let_go_are_kept_for_their_receiver() {
+fn released_shards_are_reserved_for_their_receiver() {
     let (mut coordinator, mut catalog) = divided(4);
     let before: BTreeSet<u16> = owned_shards(&catalog, 2).into_iter().collect();
     let now = ms(7_750);
@@ -118,29 +121,34 @@
         report(&mut coordinator, &catalog, ms(second * 1_000 - 500));
     }
     let mut at = |number: usize, sequence: u64, delay: u64| {
-        let outcome = coordinator.on_heartbeat(now + ms(delay), &catalog, &beat(number, sequence));
+        let outcome =
+            coordinator.on_heartbeat(now + ms(delay), &catalog, &heartbeat(number, sequence));
         for command in commands(outcome) {
             catalog.apply(&command);
         }
-        coordinator.grant(now + ms(delay), &catalog, &beat(number, sequence));
+        coordinator.grant(now + ms(delay), &catalog, &heartbeat(number, sequence));
         owned_shards(&catalog, number).into_iter().collect()
     };
     at(2, 8, 0);
     let kept: BTreeSet<u16> = at(2, 9, 50);
-    let let_go: BTreeSet<u16> = before.difference(&kept).copied().collect();
-    assert!(!let_go.is_empty(), "a busy server lets some go");
-    let newcomers: BTreeSet<u16> = at(4, 1, 60);
+    let released: BTreeSet<u16> = before.difference(&kept).copied().collect();
+    assert!(!released.is_empty(), "a busy server releases some shards");
+    let new_servers: BTreeSet<u16> = at(4, 1, 60);
     assert!(
-        newcomers.is_disjoint(&let_go),
-        "a new server with room for them beats first"
+        new_servers.is_disjoint(&released),
+        "a new server with headroom sends its heartbeat first"
     );
     let receivers: BTreeSet<u16> = at(0, 8, 100);
-    assert!(receivers.is_superset(&let_go), "the fast one takes them");
+    assert!(
+        receivers.is_superset(&released),
+        "the fast server takes them"
+    );
 }
 
-/// Ended servers are remembered in bounded number; one that is forgotten may still own shards.
+/// A bounded number of servers that are gone stays in the catalog; one that was dropped from it may
+/// still own shards.
 #[test]
-fn shards_of_a_server_that_is_no_longer_remembered_are_freed_by_a_new_leader() {
+fn shards_of_a_server_dropped_from_the_catalog_are_freed_by_a_new_leader() {
     let (_, mut catalog) = divided(1);
     let owned_before = owned(&catalog, 1);
     assert!(owned_before[0] > 0);
@@ -163,15 +171,18 @@
         }));
         end(&mut catalog, number);
     }
-    assert!(catalog.instance(&id(0)).is_none(), "it is forgotten");
+    assert!(
+        catalog.instance(&id(0)).is_none(),
+        "it is dropped from the catalog"
+    );
     let mut coordinator = Coordinator::new(timing(), ms(0));
     let commands = coordinator.tick(ms(20_000), &catalog);
     let frees = |command: &Command| matches!(command, Command::FreeShards { id: owner, .. } if *owner == id(0));
     assert!(commands.iter().any(frees), "its shards are freed");
 }
 
-/// A heartbeat of a server in a zone, which reports what the catalog says it owns unless it is told otherwise.
-fn zoned_beat(number: usize, sequence: u64, held: &[(u16, u64)]) -> Heartbeat {
+/// Heartbeat of a server in one of three zones that reports the given shards with their fences as held.
+fn zoned_heartbeat(number: usize, sequence: u64, held: &[(u16, u64)]) -> Heartbeat {
     let zone = match number % 3 {
         0 => "east",
         1 => "west",
@@ -187,18 +198,18 @@
                 fence: *fence,
             })
             .collect(),
-        ..beat(number, sequence)
+        ..heartbeat(number, sequence)
     }
 }
 
-/// Servers that hold exactly what their last answer listed, and send a heartbeat each second, or 100 ms after an answer
-/// that left something out.
+/// Servers that hold exactly what their last response listed. They send a heartbeat each second, and 100
+/// ms after a response that omitted a shard.
 struct Fleet {
     coordinator: Coordinator,
     catalog: Catalog,
     /// Shards with their fences, by server.
     held: Vec<Vec<(u16, u64)>>,
-    next_beats: Vec<Duration>,
+    next_heartbeats: Vec<Duration>,
     sequence: u64,
     warmup_left: Duration,
 }
@@ -216,7 +227,7 @@
             coordinator: Coordinator::new(timing(), ms(0)),
             catalog: catalog(),
             held: vec![Vec::new(); count],
-            next_beats: (0..count).map(spread).collect(),
+            next_heartbeats: (0..count).map(spread).collect(),
             sequence: 0,
             warmup_left: Duration::ZERO,
         }
@@ -227,15 +238,19 @@
         while now < to {
             self.sequence += 1;
             for number in 0..self.held.len() {
-                if now < self.next_beats[number] {
+                if now < self.next_heartbeats[number] {
                     continue;
                 }
-                let mut beat = zoned_beat(number, self.sequence, &self.held[number]);
-                beat.warmup_left = self.warmup_left;
-                for command in commands(self.coordinator.on_heartbeat(now, &self.catalog, &beat)) {
+                let mut heartbeat = zoned_heartbeat(number, self.sequence, &self.held[number]);
+                heartbeat.warmup_left = self.warmup_left;
+                for command in commands(self.coordinator.on_heartbeat(
+                    now,
+                    &self.catalog,
+                    &heartbeat,
+                )) {
                     self.catalog.apply(&command);
                 }
-                let grant = self.coordinator.grant(now, &self.catalog, &beat);
+                let grant = self.coordinator.grant(now, &self.catalog, &heartbeat);
                 let rows = grant.expect("sharded").rows.into_iter();
                 let shards = rows.flat_map(|row| {
                     (row.from / 16..=row.to / 16).map(move |shard| (shard as u16, row.fence))
@@ -246,7 +261,7 @@
                     true => ms(100),
                     false => timing().heartbeat_interval,
                 };
-                self.next_beats[number] = now + pause;
+                self.next_heartbeats[number] = now + pause;
                 self.held[number] = held;
             }
             for command in self.coordinator.tick(now, &self.catalog) {
@@ -273,11 +288,11 @@
 }
 
 #[test]
-fn an_evacuated_zone_gives_all_its_shards_to_the_others_within_the_window_and_some_heartbeats() {
+fn all_shards_of_an_evacuated_zone_move_within_the_window_and_some_heartbeats() {
     let mut fleet = Fleet::new(8);
     assert!(
         fleet.shards_in_east() > SHARDS / 4,
-        "the zone owns its part"
+        "the zone owns its share"
     );
     fleet.set_evacuation("east", true);
     fleet.run(ms(8_000), ms(12_500));
@@ -288,7 +303,7 @@
 }
 
 #[test]
-fn an_evacuation_of_all_zones_leaves_shards_without_owners_and_its_end_brings_them_back() {
+fn evacuating_all_zones_leaves_shards_without_owners_until_it_ends() {
     let mut fleet = Fleet::new(6);
     for zone in ["east", "west", "north"] {
         fleet.set_evacuation(zone, true);
@@ -308,10 +323,10 @@
     fleet.set_evacuation("east", true);
     fleet.run(ms(8_000), ms(12_000));
     fleet.set_evacuation("east", false);
-    // All report that they warm up, but only the zone's own servers own nothing yet.
+    // All servers report that they are warming up, but only those of the evacuated zone own no shard.
     let cold = Heartbeat {
         warmup_left: ms(3_000),
-        ..zoned_beat(0, fleet.sequence + 1, &[])
+        ..zoned_heartbeat(0, fleet.sequence + 1, &[])
     };
     let free = Command::FreeShards {
         service: SERVICE.to_owned(),
@@ -334,13 +349,13 @@
     );
     let assigns = |command: &Command| matches!(command, Command::AssignShards { .. });
     assert!(!taken.iter().any(assigns), "a cold server took shards");
-    let warm = zoned_beat(4, fleet.sequence + 1, &fleet.held[4]);
+    let warm = zoned_heartbeat(4, fleet.sequence + 1, &fleet.held[4]);
     let taken = commands(
         fleet
             .coordinator
             .on_heartbeat(ms(13_000), &fleet.catalog, &warm),
     );
-    assert!(taken.iter().any(assigns), "a warm one takes them");
+    assert!(taken.iter().any(assigns), "a warm server takes them");
 }
 
 #[test]
--- a/crates/grants/tests/relief.rs
+++ b/crates/grants/tests/relief.rs
@@ -1,4 +1,5 @@
-//! Shards that a server can't serve go to others: one that states a rate, and one that reports before all others.
+//! Load is moved away from servers that can't process it: servers that state a rate, ask for no
+//! requests, or send their heartbeats right before all others.
 
 mod division;
 mod support;
@@ -6,18 +7,19 @@
 use grebepin_catalog::{Catalog, SHARDS};
 use grebepin_grants::{LoadSample, ServerSample};
 
-use division::{beat, commands, divided, id, ms, owned, owned_shards, round};
+use division::{commands, divided, heartbeat, id, ms, owned, owned_shards, round};
 use support::SERVICE;
 
-/// Shards apart of which each gets a request a second: about ten for each of four servers, which run them with ease.
-const ASKED_EVERY: usize = SHARDS / 40;
+/// Distance of the shards that get a request a second: about ten for each of four servers, well within
+/// their capacity.
+const REQUEST_STEP: usize = SHARDS / 40;
 
-/// Requests a second that one of them states to take.
-const STATED: f32 = 2.5;
+/// Requests a second that one of them states to accept.
+const STATED_RATE: f32 = 2.5;
 
-/// What gateways saw in a second in which each shard of so many got a request.
-fn sample(asked_every: usize, servers: impl Iterator<Item = ServerSample>) -> LoadSample {
-    let shards = (0..SHARDS as u16).step_by(asked_every);
+/// Load report for a second in which every `request_step`-th shard got one request.
+fn sample(request_step: usize, servers: impl Iterator<Item = ServerSample>) -> LoadSample {
+    let shards = (0..SHARDS as u16).step_by(request_step);
     LoadSample {
         shards: vec![(SERVICE.to_owned(), shards.map(|shard| (shard, 1)).collect())],
         servers: servers.collect(),
@@ -25,13 +27,14 @@
 }
 
 /// Requests a second for the shards of server 1.
-fn asked_of_one(catalog: &Catalog, asked_every: usize) -> usize {
+fn requests_to_server_1(catalog: &Catalog, request_step: usize) -> usize {
     let owned = owned_shards(catalog, 1).into_iter();
-    let asked = owned.filter(|shard| usize::from(*shard).is_multiple_of(asked_every));
-    asked.count()
+    let requests = owned.filter(|shard| usize::from(*shard).is_multiple_of(request_step));
+    requests.count()
 }
 
-/// A server in need states what it takes: what nobody else may run meanwhile goes to others that may.
+/// A server that states a rate below the load of its shards keeps only shards that fit the rate; the
+/// others move to servers with spare capacity.
 #[test]
 fn a_server_that_states_a_rate_keeps_only_the_shards_that_it_can_serve() {
     let (mut coordinator, mut catalog) = divided(4);
@@ -47,31 +50,34 @@
                 cooldown: None,
                 is_leaving: false,
             });
-            coordinator.on_load(now, &catalog, &sample(ASKED_EVERY, servers));
+            coordinator.on_load(now, &catalog, &sample(REQUEST_STEP, servers));
             round(&mut coordinator, &mut catalog, now, 4, sequence, false);
         }
-        (asked_of_one(&catalog, ASKED_EVERY), owned(&catalog, 4))
+        (
+            requests_to_server_1(&catalog, REQUEST_STEP),
+            owned(&catalog, 4),
+        )
     };
-    let (asked, calm) = second(8..20, None);
+    let (requests, before_limit) = second(8..20, None);
     assert!(
-        asked as f32 > STATED * 3.0 && calm == before,
-        "{asked}, {before:?} became {calm:?}"
+        requests as f32 > STATED_RATE * 3.0 && before_limit == before,
+        "{requests}, {before:?} became {before_limit:?}"
     );
-    let (asked, in_need) = second(20..40, Some(STATED));
+    let (requests, limited) = second(20..40, Some(STATED_RATE));
     assert!(
-        asked as f32 <= STATED,
-        "{asked} requests a second are for it"
+        requests as f32 <= STATED_RATE,
+        "{requests} requests a second are for its shards"
     );
     let (_, after) = second(40..60, None);
-    assert_eq!(after, in_need, "nothing moves back while nobody is busy");
+    assert_eq!(after, limited, "nothing moves back while no server is busy");
 }
 
-/// What was seen: owners stated a rate in turn, three seconds each, and a third of all requests was refused in the first two
-/// seconds of each, since their keys went to others a few at a time.
+/// Guards against moving an excess a few shards at a time: owners that stated a rate in turn for three
+/// seconds each refused a third of all requests in their first two seconds.
 #[test]
-fn a_server_that_states_a_rate_gives_away_all_that_it_may_not_run_at_once() {
-    const ASKED_EVERY: usize = SHARDS / 400;
-    const STATED: usize = 25;
+fn load_above_a_stated_rate_moves_away_at_once() {
+    const REQUEST_STEP: usize = SHARDS / 400;
+    const STATED_RATE: usize = 25;
     let (mut coordinator, mut catalog) = divided(4);
     for sequence in 8..15_u64 {
         let now = ms(sequence * 1_000);
@@ -79,20 +85,24 @@
             id: id(number),
             answers: 100,
             seconds: 1.0,
-            stated_rate: (number == 1 && sequence >= 12).then_some(STATED as f32),
+            stated_rate: (number == 1 && sequence >= 12).then_some(STATED_RATE as f32),
             cooldown: None,
             is_leaving: false,
         });
-        coordinator.on_load(now, &catalog, &sample(ASKED_EVERY, servers));
+        coordinator.on_load(now, &catalog, &sample(REQUEST_STEP, servers));
         round(&mut coordinator, &mut catalog, now, 4, sequence, false);
     }
-    let asked = asked_of_one(&catalog, ASKED_EVERY);
-    assert!(asked <= STATED, "{asked} requests a second are for it");
+    let requests = requests_to_server_1(&catalog, REQUEST_STEP);
+    assert!(
+        requests <= STATED_RATE,
+        "{requests} requests a second are for its shards"
+    );
 }
 
-/// What was seen: an owner asked for no requests for three seconds, again and again, and kept its shards all the while.
+/// Guards against an owner that asks for no requests for three seconds at a time, repeatedly, and keeps
+/// its shards throughout.
 #[test]
-fn a_server_that_takes_no_requests_for_a_time_gives_away_what_is_asked_for() {
+fn requested_shards_move_away_from_a_server_that_accepts_no_requests() {
     for (cooldown, moves) in [(0.9, false), (30.0, true)] {
         let (mut coordinator, mut catalog) = divided(4);
         for sequence in 8..20_u64 {
@@ -105,21 +115,26 @@
                 cooldown: (number == 1).then_some(cooldown),
                 is_leaving: false,
             });
-            coordinator.on_load(now, &catalog, &sample(ASKED_EVERY, servers));
+            coordinator.on_load(now, &catalog, &sample(REQUEST_STEP, servers));
             round(&mut coordinator, &mut catalog, now, 4, sequence, false);
         }
-        let asked = asked_of_one(&catalog, ASKED_EVERY);
-        assert_eq!(asked <= 1, moves, "{cooldown} s: {asked} are asked for");
+        let requests = requests_to_server_1(&catalog, REQUEST_STEP);
+        assert_eq!(
+            requests <= 1,
+            moves,
+            "{cooldown} s: {requests} requests a second are for its shards"
+        );
         let all: usize = owned(&catalog, 4).iter().sum();
         assert!(all > SHARDS * 9 / 10, "{all} shards have an owner");
     }
 }
 
-/// What was seen: a server that stated a part of what came kept all its shards for 13 s, and every ninth request was
-/// refused. All servers had started together; its heartbeat came first, and those of the others so shortly after it that
-/// none of them was ever expected soon enough and late enough to take a shard over.
+/// Guards against a server that states a fraction of its load and keeps all its shards for 13 s, so that
+/// every ninth request is refused. It happened when all servers had started together: the server's
+/// heartbeat came first and those of the others followed so shortly that none was due late enough,
+/// within the search window, to take over a shard.
 #[test]
-fn a_busy_server_is_relieved_though_all_others_beat_right_after_it() {
+fn a_busy_server_is_relieved_when_all_others_send_heartbeats_right_after_it() {
     let (mut coordinator, mut catalog) = divided(4);
     let before = owned_shards(&catalog, 0).len();
     for sequence in 8..20_u64 {
@@ -135,10 +150,10 @@
         coordinator.on_load(now, &catalog, &sample(25, servers));
         for number in 0..4_usize {
             let at = now + ms(20) * number as u32;
-            let beat = beat(number, sequence);
-            let all = commands(coordinator.on_heartbeat(at, &catalog, &beat));
+            let heartbeat = heartbeat(number, sequence);
+            let all = commands(coordinator.on_heartbeat(at, &catalog, &heartbeat));
             all.iter().for_each(|command| _ = catalog.apply(command));
-            coordinator.grant(at, &catalog, &beat);
+            coordinator.grant(at, &catalog, &heartbeat);
         }
     }
     let after = owned_shards(&catalog, 0).len();
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of leases and placement begin with: a service divided by key, and heartbeats of its servers.
+//! Fixtures of the tests of leases and placement: a sharded service and heartbeats of its servers.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 /// Name of the service.
 pub const SERVICE: &str = "ledger";
 
-/// A state that holds the service and no server; `warmup_rate` is what its servers bear while they warm up.
+/// State with the service and no servers. `warmup_rate` is the load that its servers can take while they
+/// warm up.
 pub fn sharded_service(warmup_rate: Option<f64>) -> Catalog {
     let item = Item {
         name: SERVICE.to_owned(),
@@ -30,8 +31,8 @@
     catalog
 }
 
-/// A heartbeat of a server with two slots that holds nothing; `host` makes its address its own.
-pub fn beat(id: &InstanceId, host: u64, sequence: u64) -> Heartbeat {
+/// Heartbeat of a server with two slots that holds no shard; `host` is a part of its address.
+pub fn heartbeat(id: &InstanceId, host: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         id: id.clone(),
         service: SERVICE.to_owned(),
@@ -46,7 +47,7 @@
     }
 }
 
-/// Leases of 4 s that are renewed each 1.3 s.
+/// Leases of 4 s, renewed every 1.3 s.
 #[allow(dead_code, reason = "placement has longer leases of its own")]
 pub fn timing() -> Timing {
     Timing {
