--- a/crates/ownership/src/coordinator/view.rs
+++ b/crates/ownership/src/coordinator/view.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use grebepin_placement::{targets, LeastLoaded};
+use grebepin_placement::{target_weights, LeastLoaded};
 use grebepin_schema::{MachineState, ServerStanding, ServiceName, ShardId};
 
 use super::link::ServerLink;
@@ -206,7 +206,7 @@
 /// Weight of each server that may receive; removed servers stand behind the bundle's and weigh nothing.
 pub(super) fn weights(service: &ServiceState, eligible: &[bool]) -> Vec<f64> {
     let listed = &service.service;
-    let mut weights = targets(&listed.sides, &listed.servers, eligible);
+    let mut weights = target_weights(&listed.sides, &listed.servers, eligible);
     weights.resize(service.servers.len(), 0.0);
     weights
 }
--- a/crates/ownership/src/plan.rs
+++ b/crates/ownership/src/plan.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use grebepin_placement::{assign_orphans, rebalance_sides, targets, Candidate, RebalancePolicy};
+use grebepin_placement::{
+    assign_orphans, rebalance_sides, target_weights, Candidate, RebalancePolicy,
+};
 use grebepin_schema::{
     Bundle, Server, ServerName, ServerStanding, Service, ServiceName, ServiceTable, SideName, Table,
 };
@@ -114,7 +116,7 @@
 fn plan_service(known: Option<&ServiceTable>, next: &Service) -> ServicePlan {
     let before = owners_before(known, next);
     let eligible = may_receive(known, next);
-    let weights = targets(&next.sides, &next.servers, &eligible);
+    let weights = target_weights(&next.sides, &next.servers, &eligible);
     let after = owners_after(next, &before, &weights);
     let pairs = before.iter().zip(&after);
     let moves = pairs
@@ -256,7 +258,7 @@
         .map(|standing| *standing == ServerStanding::Active)
         .collect();
     eligible.resize(known.service.servers.len(), false);
-    let weights = targets(&known.service.sides, &known.service.servers, &eligible);
+    let weights = target_weights(&known.service.sides, &known.service.servers, &eligible);
     imbalance(&counts_of_table(known), &weights)
 }
 
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -12,7 +12,7 @@
 pub use heap::LeastLoaded;
 pub use orphans::{assign_orphans, owners_after_loss};
 pub use rebalance::{rebalance, rebalance_sides, Move, RebalancePolicy};
-pub use targets::{target_counts, targets};
+pub use targets::{target_counts, target_weights};
 
 /// A server as placement sees it.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/placement/src/targets.rs
+++ b/crates/placement/src/targets.rs
@@ -12,7 +12,7 @@
 /// `eligible[position]` says whether the server at that position may receive shards now. Weights add up
 /// to the sum of the shares of those sides that have an eligible server; a side without one leaves its
 /// share to the others.
-pub fn targets(sides: &[SideShare], servers: &[Server], eligible: &[bool]) -> Vec<f64> {
+pub fn target_weights(sides: &[SideShare], servers: &[Server], eligible: &[bool]) -> Vec<f64> {
     let mut side_weights: BTreeMap<&SideName, f64> = BTreeMap::new();
     let is_eligible = |position: usize| eligible.get(position).copied().unwrap_or(false);
     for (position, server) in servers.iter().enumerate() {
--- a/crates/placement/tests/targets.rs
+++ b/crates/placement/tests/targets.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{any_fleet, can_own, candidates, counts, fixed_cases};
-use grebepin_placement::{target_counts, targets};
+use grebepin_placement::{target_counts, target_weights};
 use grebepin_schema::{Server, SideShare};
 use proptest::prelude::*;
 use serde_json::json;
@@ -50,7 +50,7 @@
         ([("old", 70), ("new", 30)], [false; 5], [0.0; 5]),
     ];
     for (shares, eligible, expected) in cases {
-        let found = targets(&sides(&shares), &servers(&rows), &eligible);
+        let found = target_weights(&sides(&shares), &servers(&rows), &eligible);
         assert_eq!(found, expected, "{shares:?} {eligible:?}");
     }
 }
