--- a/crates/placement/examples/placement_table/fleet.rs
+++ b/crates/placement/examples/placement_table/fleet.rs
@@ -1,16 +1,16 @@
-//! Sizes of fleets, and loads of shards drawn from a seed.
+//! Fleet sizes, and loads of shards drawn from a seed.
 
 use grebepin_placement::Candidate;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A size of fleet.
+/// Size of a fleet.
 pub struct Size {
     pub name: &'static str,
     pub servers: usize,
     pub shards: usize,
     pub zones: usize,
-    /// Most seeds for rendezvous hashing.
+    /// Limit on the number of seeds for rendezvous hashing.
     pub rendezvous_seeds: u64,
 }
 
@@ -53,7 +53,7 @@
     vec![server; count]
 }
 
-/// Loads between half and one and a half, and one shard with `hot_load`.
+/// Loads between 0.5 and 1.5, and one shard with `hot_load`.
 pub fn loads(size: &Size, seed: u64, hot_load: f64) -> Vec<f64> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut loads: Vec<f64> = (0..size.shards)
--- a/crates/placement/examples/placement_table/main.rs
+++ b/crates/placement/examples/placement_table/main.rs
@@ -1,4 +1,4 @@
-//! Prints the comparison of ways to place shards, and the study of deriving new owners after a loss.
+//! Prints the comparison of the placement algorithms, and the cost of deriving new owners after a loss.
 //!
 //! `cargo run --release -p grebepin-placement --example placement_table -- [small,middle,large] [SEEDS]`
 
@@ -37,7 +37,7 @@
     );
     Row::print_header();
     for algorithm in ALGORITHMS {
-        // Rendezvous hashing looks at each pair of shard and server.
+        // Rendezvous hashing computes a score for each pair of shard and server.
         let seeds = if algorithm.name() == Rendezvous.name() {
             seeds.min(size.rendezvous_seeds)
         } else {
--- a/crates/placement/examples/placement_table/measure.rs
+++ b/crates/placement/examples/placement_table/measure.rs
@@ -1,4 +1,4 @@
-//! What is measured of one placement, and the rows of the table.
+//! Measurements of a placement, and the rows of the table.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 use crate::fleet::Size;
 use crate::scenario::Scenario;
 
-/// Measures of one placement.
+/// Measurements of one placement.
 pub struct Measured {
     imbalance_keys: f64,
     imbalance_load: f64,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Most that a server holds, relative to what its weight asks for.
+/// Largest ratio of what a server holds to its share by weight.
 fn most_over_share(candidates: &[Candidate], owners: &[Option<usize>], sizes: &[f64]) -> f64 {
     let mut held = vec![0.0; candidates.len()];
     for (shard, owner) in owners.iter().enumerate() {
--- a/crates/placement/examples/placement_table/scenario.rs
+++ b/crates/placement/examples/placement_table/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet.
+//! Events that change a fleet.
 
 use grebepin_placement::algorithms::{Algorithm, Problem};
 use grebepin_placement::{target_counts, Candidate};
@@ -6,8 +6,8 @@
 use crate::fleet::{self, Size};
 
 pub const IMBALANCE_PERCENT: u32 = 10;
-/// Load of the hot shard, as part of a server's share.
-const HOT_PART: f64 = 0.5;
+/// Load of the hot shard, as a fraction of a server's share.
+const HOT_FRACTION: f64 = 0.5;
 const OLD_SIDE_BEFORE: f64 = 70.0;
 const OLD_SIDE_AFTER: f64 = 60.0;
 const BOTH_SIDES: f64 = 100.0;
@@ -29,7 +29,7 @@
     Scenario::HotShard,
 ];
 
-/// A fleet right after something happened to it.
+/// A fleet right after an event.
 pub struct Case {
     pub candidates: Vec<Candidate>,
     pub sides: Vec<usize>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The fleet, as placed by the algorithm before this happened.
+    /// The fleet as placed by the algorithm, followed by the event.
     pub fn case(self, algorithm: &dyn Algorithm, size: &Size, seed: u64) -> Case {
         let mut candidates = fleet::equal_servers(size.servers);
         if self == Self::ShareChange {
@@ -70,7 +70,7 @@
             Self::ShareChange => set_sides(&mut candidates, OLD_SIDE_AFTER),
         }
         let hot = match self {
-            Self::HotShard => HOT_PART * size.shards as f64 / size.servers as f64,
+            Self::HotShard => HOT_FRACTION * size.shards as f64 / size.servers as f64,
             _ => 1.0,
         };
         let half = size.servers / 2;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Fewest changes of owner that could do.
+    /// Lower bound on the changes of owner.
     pub fn least_changes(&self) -> usize {
         let problem = self.problem();
         let held = |shard| problem.eligible_owner(shard);
@@ -116,7 +116,8 @@
         }
     }
 
-    /// For each server over the borne load, its heaviest shards besides a hot one, until it is not.
+    /// For each server above the tolerated load, the number of its heaviest shards, without a hot one,
+    /// that bring it below.
     fn least_changes_for_load(&self) -> usize {
         let mut held = vec![Vec::new(); self.candidates.len()];
         for (shard, owner) in self.owners.iter().enumerate() {
@@ -125,24 +126,26 @@
             }
         }
         let mean = self.loads.iter().sum::<f64>() / held.len() as f64;
-        let borne = mean * (1.0 + f64::from(IMBALANCE_PERCENT) / 100.0);
-        held.iter_mut().map(|loads| least_given(loads, borne)).sum()
+        let tolerated = mean * (1.0 + f64::from(IMBALANCE_PERCENT) / 100.0);
+        held.iter_mut()
+            .map(|loads| least_moved(loads, tolerated))
+            .sum()
     }
 }
 
-fn least_given(loads: &mut Vec<f64>, borne: f64) -> usize {
+fn least_moved(loads: &mut Vec<f64>, tolerated: f64) -> usize {
     let mut sum: f64 = loads.iter().sum();
     loads.sort_by(f64::total_cmp);
-    let mut given = 0;
-    while sum > borne {
+    let mut moved = 0;
+    while sum > tolerated {
         let Some(load) = loads.pop() else { break };
-        // A shard heavier than the whole excess of an ordinary one is the hot one, which stays.
+        // A load of 2 or more is that of the hot shard, which stays; other loads are below 1.5.
         if load < 2.0 {
             sum -= load;
-            given += 1;
+            moved += 1;
         }
     }
-    given
+    moved
 }
 
 fn set_sides(candidates: &mut [Candidate], old_side: f64) {
--- a/crates/placement/examples/placement_table/study.rs
+++ b/crates/placement/examples/placement_table/study.rs
@@ -1,4 +1,5 @@
-//! Tells routers of a loss: each derives the new owners from one small message, or is sent the moves.
+//! Compares two ways to inform routers of a loss: a small message from which each derives the new
+//! owners, and a message with all moves.
 
 use std::time::Instant;
 
@@ -27,7 +28,7 @@
     let decided = derive(&candidates, &owners, lost);
     let small = encoded(delta(lost, &[]));
     let sent = encoded(delta(lost, &decided));
-    // A router works from its own copy of the table and from the message alone.
+    // A router uses only its own copy of the table and the message.
     let start = Instant::now();
     let derived = derive(&candidates, &owners, &lost_servers(&small));
     let milliseconds = start.elapsed().as_secs_f64() * 1e3;
--- a/crates/placement/src/algorithms.rs
+++ b/crates/placement/src/algorithms.rs
@@ -1,7 +1,7 @@
-//! Ways to place shards, behind one trait, so that they can be compared.
+//! Placement algorithms behind one trait, for comparison.
 //!
-//! The ways in use are [`crate::assign_orphans`] and [`crate::rebalance`]; `docs/design/placement.md`
-//! has the comparison.
+//! The algorithms in use are [`crate::assign_orphans`] and [`crate::rebalance`];
+//! `docs/design/placement.md` has the comparison.
 
 mod greedy;
 mod problem;
@@ -16,16 +16,17 @@
 pub use threshold::ThresholdRounds;
 pub use two_choices::TwoChoices;
 
-/// A way to place shards.
+/// A placement algorithm.
 pub trait Algorithm {
-    /// Name for tables.
+    /// Name in the comparison table.
     fn name(&self) -> &'static str;
 
-    /// New owners for shards that have none, and for shards that must move to follow weights or loads.
+    /// Returns new owners for shards that have none, and for shards that must move to follow weights or
+    /// loads.
     fn place(&self, problem: &Problem<'_>, seed: u64) -> Placement;
 }
 
-/// Mixes numbers to a hash; equal on all machines.
+/// Hashes three numbers; the result is the same on all machines.
 fn mix(seed: u64, first: u64, second: u64) -> u64 {
     const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
     let mut value =
--- a/crates/placement/src/algorithms/greedy.rs
+++ b/crates/placement/src/algorithms/greedy.rs
@@ -1,9 +1,9 @@
-//! The ways in use: each orphan to the least loaded server, then planned moves.
+//! The algorithms in use: each orphan goes to the least loaded server, then shards move as planned.
 
 use super::{Algorithm, Placement, Problem};
 use crate::{assign_orphans, rebalance_sides, RebalancePolicy};
 
-/// One leader that sees all counts.
+/// Central placement by one leader that knows all counts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Greedy;
 
--- a/crates/placement/src/algorithms/problem.rs
+++ b/crates/placement/src/algorithms/problem.rs
@@ -1,38 +1,38 @@
-//! What is to be placed, and the result.
+//! Input and result of a placement.
 
 use crate::Candidate;
 
-/// Servers, owners and loads.
+/// Input of a placement: servers, current owners and loads.
 #[derive(Clone, Copy, Debug)]
 pub struct Problem<'a> {
-    /// Servers.
+    /// Servers that shards can be placed on.
     pub candidates: &'a [Candidate],
-    /// Side of each server, as in [`crate::rebalance_sides`].
+    /// Side of each server, as for [`crate::rebalance_sides`].
     pub sides: &'a [usize],
-    /// Position of each shard's owner in `candidates`.
+    /// Index of each shard's owner in `candidates`.
     pub owners: &'a [Option<usize>],
     /// Load of each shard; empty when only counts matter.
     pub loads: &'a [f64],
-    /// Whether only shards without an eligible owner are placed; else shards move towards the servers'
-    /// shares as well.
+    /// Whether only shards without an eligible owner are placed. Otherwise shards also move so that
+    /// servers approach their shares.
     pub keep_owners: bool,
-    /// Load above a server's share, in percent, that is borne.
+    /// Tolerated excess of a server's load over its share, in percent.
     pub imbalance_percent: u32,
 }
 
-/// Changes that an algorithm makes.
+/// Result of a placement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Placement {
     /// Pairs of shard and new owner.
     pub changes: Vec<(usize, usize)>,
-    /// Questions that shards without an owner asked servers; answers are not counted.
+    /// Requests that shards without an owner sent to servers; responses aren't counted.
     pub messages: u64,
-    /// Rounds of questions.
+    /// Rounds of requests.
     pub rounds: u32,
 }
 
 impl Problem<'_> {
-    /// Position of the shard's owner if that may own shards.
+    /// Index of the shard's owner, if that server may own shards.
     pub fn eligible_owner(&self, shard: usize) -> Option<usize> {
         self.owners[shard].filter(|&server| self.candidates[server].eligible)
     }
@@ -53,7 +53,7 @@
             .collect()
     }
 
-    /// Size that each server should hold.
+    /// Total size that each server should hold.
     pub(super) fn shares(&self) -> Vec<f64> {
         let weights = self.weights();
         let sum: f64 = weights.iter().sum();
@@ -65,7 +65,7 @@
     }
 }
 
-/// The owners after a placement.
+/// Owners after a placement.
 pub(super) fn apply(owners: &[Option<usize>], placement: &Placement) -> Vec<Option<usize>> {
     let mut owners = owners.to_vec();
     for &(shard, server) in &placement.changes {
@@ -75,7 +75,7 @@
 }
 
 impl Placement {
-    /// The owners after this placement.
+    /// Owners after this placement.
     pub fn owners_after(&self, owners: &[Option<usize>]) -> Vec<Option<usize>> {
         apply(owners, self)
     }
--- a/crates/placement/src/algorithms/rendezvous.rs
+++ b/crates/placement/src/algorithms/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Weighted rendezvous hashing: each shard goes to the server with the highest score of their hash.
+//! Weighted rendezvous hashing: each shard goes to the server with the highest score of their common
+//! hash.
 //!
 //! Invariant: the owner of a shard follows from the weights alone; load has no influence.
 
@@ -6,11 +7,12 @@
 
 use super::{mix, Algorithm, Placement, Problem};
 
-/// Anyone who knows the weights derives the owners.
+/// Placement that every process derives from the weights alone.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rendezvous;
 
-/// Servers of one weight: among them the highest hash has the highest score, which spares logarithms.
+/// Servers of equal weight. The highest hash among them has the highest score, so only one logarithm is
+/// computed per class.
 struct WeightClass {
     weight: f64,
     servers: Vec<usize>,
--- a/crates/placement/src/algorithms/surplus.rs
+++ b/crates/placement/src/algorithms/surplus.rs
@@ -1,15 +1,15 @@
-//! Which shards servers give up, common to all ways that keep owners.
+//! Selection of the shards that servers release, shared by the algorithms that keep owners.
 
 use super::Problem;
 use crate::target_counts;
 
-/// Shards to be placed, and the size that each server keeps.
+/// Shards to place, and the total size that each server keeps.
 pub(super) struct Released {
     pub shards: Vec<usize>,
     pub kept: Vec<f64>,
 }
 
-/// Shards without an eligible owner, and those that over-full servers give up.
+/// Shards without an eligible owner, and those released by servers above their targets.
 pub(super) fn release(problem: &Problem<'_>) -> Released {
     let mut held = vec![Vec::new(); problem.candidates.len()];
     let mut shards = Vec::new();
@@ -20,7 +20,7 @@
         }
     }
     if problem.keep_owners {
-        // Nothing moves besides orphans.
+        // Only orphans are placed.
     } else if problem.loads.is_empty() {
         release_counts(problem, &mut held, &mut shards);
     } else {
@@ -43,17 +43,17 @@
     }
 }
 
-/// From servers over the borne load, the heaviest shards that fit into what is too much, down to half
-/// of the borne imbalance.
+/// Releases shards of servers above the tolerated load: the heaviest ones that fit the excess, down to
+/// half of the tolerated imbalance.
 fn release_loads(problem: &Problem<'_>, held: &mut [Vec<usize>], released: &mut Vec<usize>) {
-    let borne = f64::from(problem.imbalance_percent) / 100.0;
+    let tolerated = f64::from(problem.imbalance_percent) / 100.0;
     for (held, share) in held.iter_mut().zip(problem.shares()) {
         held.sort_by(|&left, &right| problem.size(right).total_cmp(&problem.size(left)));
         let size: f64 = held.iter().map(|&shard| problem.size(shard)).sum();
-        if size <= share * (1.0 + borne) {
+        if size <= share * (1.0 + tolerated) {
             continue;
         }
-        let mut excess = size - share * (1.0 + borne / 2.0);
+        let mut excess = size - share * (1.0 + tolerated / 2.0);
         held.retain(|&shard| {
             let stays = problem.size(shard) > excess;
             if !stays {
--- a/crates/placement/src/algorithms/threshold.rs
+++ b/crates/placement/src/algorithms/threshold.rs
@@ -1,19 +1,19 @@
-//! Rounds with a threshold: each shard without an owner asks one server at random; a server takes what
-//! fits below its threshold and refuses the rest, which ask again in the next round.
+//! Threshold protocol in rounds: each shard without an owner asks one random server. A server accepts
+//! what fits below its threshold and rejects the rest, which ask again in the next round.
 //!
-//! The idea is the parallel threshold protocol of Adler, Chakrabarti, Mitzenmacher and Rasmussen,
-//! "Parallel randomized load balancing" (STOC 1995), with the server's share as the threshold.
+//! Based on the parallel threshold protocol of Adler, Chakrabarti, Mitzenmacher and Rasmussen, "Parallel
+//! randomized load balancing" (STOC 1995), with the server's share as the threshold.
 
 use super::surplus::release;
 use super::two_choices::WeightedPicker;
 use super::{mix, Algorithm, Placement, Problem};
 
-/// Rounds after which the threshold rises by a shard in each further round.
+/// Rounds after which the threshold is raised by one shard per round.
 const ROUNDS_BEFORE_RISE: u32 = 16;
-/// Bound on all rounds; shards left then keep no owner.
-const MAXIMUM_ROUNDS: u32 = 10_000;
+/// Limit on the rounds; shards left over remain without an owner.
+const MAX_ROUNDS: u32 = 10_000;
 
-/// Shards ask servers all at once, again and again.
+/// Placement in which all shards ask servers in parallel rounds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ThresholdRounds;
 
@@ -30,7 +30,7 @@
         let thresholds = thresholds(problem);
         let mean_size = problem.total_size() / problem.owners.len().max(1) as f64;
         let mut placement = Placement::default();
-        while !waiting.is_empty() && placement.rounds < MAXIMUM_ROUNDS {
+        while !waiting.is_empty() && placement.rounds < MAX_ROUNDS {
             let rises = placement.rounds.saturating_sub(ROUNDS_BEFORE_RISE);
             let rise = f64::from(rises) * mean_size;
             let mut refused = Vec::new();
@@ -55,7 +55,7 @@
     }
 }
 
-/// What each server takes at most in the first rounds.
+/// Size that each server accepts in the first rounds.
 fn thresholds(problem: &Problem<'_>) -> Vec<f64> {
     let allowed = 1.0 + f64::from(problem.imbalance_percent) / 100.0;
     let threshold = |share: f64| {
--- a/crates/placement/src/algorithms/two_choices.rs
+++ b/crates/placement/src/algorithms/two_choices.rs
@@ -1,12 +1,12 @@
-//! Two choices: each shard asks two servers at random, one shard after another, and goes to the one
-//! that is less full for its weight.
+//! Power of two choices: one shard after another asks two random servers and goes to the one that is
+//! less full relative to its weight.
 
 use super::surplus::release;
 use super::{mix, Algorithm, Placement, Problem};
 
 const CHOICES: u64 = 2;
 
-/// Shards ask servers one after another.
+/// Placement in which shards ask two servers each, in sequence.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TwoChoices;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Picks servers at random, each with a chance in proportion to its weight.
+/// Picks random servers with probabilities in proportion to their weights.
 pub(super) struct WeightedPicker {
     cumulative: Vec<f64>,
 }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The server that the random bits stand for; `None` when all weights are 0.
+    /// Server for a random number; `None` when all weights are 0.
     pub(super) fn pick(&self, bits: u64) -> Option<usize> {
         let sum = *self.cumulative.last()?;
         if sum <= 0.0 {
--- a/crates/placement/src/heap.rs
+++ b/crates/placement/src/heap.rs
@@ -1,9 +1,9 @@
-//! The server with the least load for its weight, found in logarithmic time.
+//! Selection of the server with the least load relative to its weight, in logarithmic time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A server and the load it would have for its weight after taking one more shard.
+/// A server, and its shards per weight after receiving one more.
 #[derive(Clone, Copy, Debug)]
 struct Loaded {
     load_after: f64,
@@ -32,7 +32,7 @@
 
 impl Eq for Loaded {}
 
-/// Servers ordered by count of shards for their weight; ties go to the first.
+/// Servers ordered by their number of shards relative to their weights; ties go to the first server.
 #[derive(Clone, Debug)]
 pub struct LeastLoaded {
     weights: Vec<f64>,
@@ -41,7 +41,7 @@
 }
 
 impl LeastLoaded {
-    /// Starts from `counts[server]` shards on each server. Servers with weight 0 are never chosen.
+    /// Starts with `counts[server]` shards on each server. Servers with weight 0 are never chosen.
     pub fn new(weights: Vec<f64>, counts: Vec<usize>) -> Self {
         let mut heap = BinaryHeap::with_capacity(weights.len());
         for (server, (&weight, &count)) in weights.iter().zip(&counts).enumerate() {
@@ -56,9 +56,10 @@
         }
     }
 
-    /// Like [`Self::new`], but a server whose load is a larger part of all load than its count is of all
-    /// shards counts as if it had that many; so a server that gave shards away since some are hot isn't
-    /// given others in their place. Without any load the same as [`Self::new`].
+    /// Like [`Self::new`], but a server whose part of all load is larger than its part of all shards
+    /// counts with the corresponding number of shards. Otherwise a server from which shards moved away
+    /// because of a hot one would be assigned others in their place. Without any load the result is the
+    /// same as with [`Self::new`].
     pub fn with_loads(weights: Vec<f64>, mut counts: Vec<usize>, loads: &[f64]) -> Self {
         let load = |server: usize| match loads.get(server) {
             Some(&load) if load.is_finite() && weights[server] > 0.0 => load.max(0.0),
@@ -76,7 +77,7 @@
         Self::new(weights, counts)
     }
 
-    /// Gives one shard to the least loaded server; `None` when there is no server.
+    /// Assigns one shard to the least loaded server; `None` when no server has a weight above 0.
     pub fn take(&mut self) -> Option<usize> {
         let mut top = self.heap.peek_mut()?;
         let server = top.0.server;
--- a/crates/placement/src/orphans.rs
+++ b/crates/placement/src/orphans.rs
@@ -1,11 +1,12 @@
-//! New owners for shards that have none.
+//! New owners for shards without an owner.
 
 use crate::heap::LeastLoaded;
 use crate::Candidate;
 
-/// Gives every shard without an eligible owner to the server with the least load for its weight.
+/// Assigns every shard without an eligible owner to the server with the fewest shards relative to its
+/// weight.
 ///
-/// `owners[shard]` is a position in `candidates`. Returns pairs of shard and new owner; empty when no
+/// `owners[shard]` is an index into `candidates`. Returns pairs of shard and new owner; empty when no
 /// server is eligible.
 pub fn assign_orphans(candidates: &[Candidate], owners: &[Option<usize>]) -> Vec<(usize, usize)> {
     let mut counts = vec![0; candidates.len()];
@@ -22,7 +23,8 @@
     orphans.into_iter().map_while(place).collect()
 }
 
-/// The new owners that everyone who knows the table derives from the news that one server is lost.
+/// New owners after the loss of one server. They follow from the ownership table alone, so every process
+/// that has the table derives the same owners.
 ///
 /// Returns the same as [`assign_orphans`] with that server not eligible.
 pub fn owners_after_loss(
--- a/crates/placement/src/rebalance.rs
+++ b/crates/placement/src/rebalance.rs
@@ -1,4 +1,4 @@
-//! Planned moves: first towards the wanted counts, then away from servers with too much load.
+//! Planned moves: first towards the target counts, then away from overloaded servers.
 //!
 //! Invariant: the result never has more moves than the budget, and no shard moves twice.
 
@@ -14,79 +14,80 @@
 /// A planned move of one shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// Shard.
+    /// Shard that moves.
     pub shard: usize,
-    /// Position of its present owner.
+    /// Index of its current owner.
     pub from: usize,
-    /// Position of its next owner.
+    /// Index of its next owner.
     pub to: usize,
 }
 
 /// Bounds on planned moves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RebalancePolicy {
-    /// Most moves to start now.
+    /// Largest number of moves to start now.
     pub budget: usize,
-    /// Load above a server's share, in percent, below which no shard moves for load. Once a server is
-    /// above it, moves go on until it is at half of it. Counts of servers of one side may differ from
-    /// their shares by as much.
+    /// Excess of a server's load over its share, in percent, below which no shard moves for load. Once a
+    /// server exceeds it, shards move until the excess is half of that. The counts of servers within one
+    /// side may differ from their shares by the same percentage.
     pub imbalance_percent: u32,
-    /// Whether shards also move away from servers with too much load. Moves towards counts heed loads
-    /// either way.
+    /// Whether shards also move away from overloaded servers. Moves towards target counts take loads
+    /// into account in any case.
     pub relieves_load: bool,
 }
 
-/// Shards beyond its share, rounded either way, that a side may always keep or lack.
+/// Shards by which the count of a side may always differ from its share, rounded up or down.
 const COUNT_SLACK: usize = 1;
 
-/// State of a plan while it is made.
+/// A plan under construction.
 struct Plan<'a> {
     loads: &'a [f64],
     owners: Vec<Option<usize>>,
     moved: Vec<bool>,
     moves: Vec<Move>,
     budget: usize,
-    /// Part of a server's share that it may be off by.
-    allowed: f64,
+    /// Fraction by which a server may differ from its share.
+    tolerance: f64,
     counts: Vec<usize>,
     targets: Vec<usize>,
-    /// Counts within which a server is left alone.
+    /// Range of counts within which a server's count causes no moves.
     bounds: Vec<RangeInclusive<usize>>,
-    /// Load of each server.
-    present: Vec<f64>,
-    /// Load each server should have; 0 with weight 0.
-    wanted: Vec<f64>,
+    /// Load of each server with the moves planned so far.
+    current_loads: Vec<f64>,
+    /// Load that each server should have; 0 with weight 0.
+    target_loads: Vec<f64>,
     sides: Sides,
 }
 
-/// Counts of sides, which are kept more closely than those of their servers.
+/// Counts of sides, which are kept closer to their targets than those of single servers.
 struct Sides {
-    /// Side of each server.
+    /// Index of each server's side.
     of_server: Vec<usize>,
     counts: Vec<usize>,
     targets: Vec<usize>,
     bounds: Vec<RangeInclusive<usize>>,
 }
 
-/// Plans moves between servers that are both up, with each server's count kept to its weight.
+/// Plans moves between available servers so that each server's count follows its weight.
 ///
-/// `owners[shard]` is a position in `candidates`; `loads[shard]` is that shard's load in any unit, and
-/// missing loads count as 0. Shards without an eligible owner are left to [`crate::assign_orphans`]. A
-/// server with weight 0 that is eligible gives all of its shards away.
+/// `owners[shard]` is an index into `candidates`; `loads[shard]` is that shard's load in any unit, and
+/// missing loads count as 0. Shards without an eligible owner are left to [`crate::assign_orphans`]. All
+/// shards of an eligible server with weight 0 move to other servers.
 pub fn rebalance(
     candidates: &[Candidate],
     owners: &[Option<usize>],
     loads: &[f64],
     policy: &RebalancePolicy,
 ) -> Vec<Move> {
-    let each_its_own: Vec<usize> = (0..candidates.len()).collect();
-    rebalance_sides(candidates, &each_its_own, owners, loads, policy)
+    let separate_sides: Vec<usize> = (0..candidates.len()).collect();
+    rebalance_sides(candidates, &separate_sides, owners, loads, policy)
 }
 
-/// Like [`rebalance`], but keeps only the counts of sides to their weights; servers of one side may
-/// differ by the policy's percentage, and one with too much load may have fewer shards.
+/// Like [`rebalance`], but only the counts of sides follow their weights. Servers within a side may
+/// differ by the policy's percentage, and an overloaded one may have fewer shards.
 ///
-/// `sides[server]` is any number that stands for its side; servers past the end of `sides` are of side 0.
+/// `sides[server]` is any number that identifies its side; servers past the end of `sides` belong to
+/// side 0.
 pub fn rebalance_sides(
     candidates: &[Candidate],
     sides: &[usize],
@@ -114,34 +115,34 @@
         let owners: Vec<Option<usize>> =
             owners.iter().map(|owner| owner.filter(eligible)).collect();
         let mut counts = vec![0; candidates.len()];
-        let mut present = vec![0.0; candidates.len()];
+        let mut current_loads = vec![0.0; candidates.len()];
         for (shard, owner) in owners.iter().enumerate() {
             if let Some(server) = owner {
                 counts[*server] += 1;
-                present[*server] += load_of(loads, shard);
+                current_loads[*server] += load_of(loads, shard);
             }
         }
         let owned = owners.iter().flatten().count();
         let shares = exact_shares(candidates, owned);
-        let allowed = f64::from(policy.imbalance_percent) / 100.0;
-        let load_of_shard = present.iter().sum::<f64>() / owned.max(1) as f64;
-        let slack = |share: f64| COUNT_SLACK.max((share * allowed) as usize);
+        let tolerance = f64::from(policy.imbalance_percent) / 100.0;
+        let load_of_shard = current_loads.iter().sum::<f64>() / owned.max(1) as f64;
+        let slack = |share: f64| COUNT_SLACK.max((share * tolerance) as usize);
         Self {
             loads,
             moved: vec![false; owners.len()],
             owners,
             moves: Vec::new(),
             budget: policy.budget,
-            allowed,
+            tolerance,
             targets: target_counts(candidates, &counts, owned),
             bounds: shares
                 .iter()
                 .map(|&share| bounds_of(share, slack(share)))
                 .collect(),
-            wanted: shares.iter().map(|share| share * load_of_shard).collect(),
+            target_loads: shares.iter().map(|share| share * load_of_shard).collect(),
             sides: Sides::new(candidates, sides, &counts, owned),
             counts,
-            present,
+            current_loads,
         }
     }
 
@@ -153,10 +154,10 @@
         self.budget - self.moves.len()
     }
 
-    /// Load of a server relative to what it should have; 0 when it should have none.
+    /// Load of a server relative to its target; 0 when the target is 0.
     fn load_ratio(&self, server: usize) -> f64 {
-        if self.wanted[server] > 0.0 {
-            self.present[server] / self.wanted[server]
+        if self.target_loads[server] > 0.0 {
+            self.current_loads[server] / self.target_loads[server]
         } else {
             0.0
         }
@@ -167,16 +168,16 @@
         self.owners[shard] = Some(to);
         self.counts[from] -= 1;
         self.counts[to] += 1;
-        self.present[from] -= load;
-        self.present[to] += load;
+        self.current_loads[from] -= load;
+        self.current_loads[to] += load;
         self.sides.counts[self.sides.of_server[from]] -= 1;
         self.sides.counts[self.sides.of_server[to]] += 1;
         self.moved[shard] = true;
         self.moves.push(Move { shard, from, to });
     }
 
-    /// Shards of each server, the lightest first.
-    fn held_by_load(&self) -> Vec<Vec<usize>> {
+    /// Shards of each server in ascending order of load.
+    fn shards_by_load(&self) -> Vec<Vec<usize>> {
         let mut shards = vec![Vec::new(); self.counts.len()];
         for (shard, owner) in self.owners.iter().enumerate() {
             if let Some(server) = owner {
@@ -230,7 +231,7 @@
     }
 }
 
-/// Counts round a share within which nothing moves; none but 0 with a share of 0.
+/// Range of counts around a share within which nothing moves; only 0 for a share of 0.
 fn bounds_of(share: f64, slack: usize) -> RangeInclusive<usize> {
     if share <= 0.0 {
         return 0..=0;
--- a/crates/placement/src/rebalance/counts.rs
+++ b/crates/placement/src/rebalance/counts.rs
@@ -1,7 +1,7 @@
-//! Moves towards the wanted counts.
+//! Moves towards the target counts.
 //!
-//! Invariant: nothing moves while every server and every side is within its bounds; else a server within
-//! its bounds changes only as far as its side's count needs it to.
+//! Invariant: nothing moves while every server and every side is within its bounds. Otherwise a server
+//! within its bounds changes only as far as the count of its side requires.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,24 +9,29 @@
 use super::Plan;
 
 impl Plan<'_> {
-    /// Moves from the server with the most surplus to the one with the most room, lightest shards first.
+    /// Moves shards from the server with the largest surplus to the one with the largest shortage,
+    /// lightest shards first.
     pub(super) fn move_towards_counts(&mut self) {
         let servers = 0..self.counts.len();
         let sides = &self.sides;
-        let is_settled = |side: usize| sides.bounds[side].contains(&sides.counts[side]);
-        let settled = (0..sides.counts.len()).all(is_settled);
-        if settled && servers.clone().all(|server| self.may_stay(server)) {
+        let side_within_bounds = |side: usize| sides.bounds[side].contains(&sides.counts[side]);
+        let within_bounds = (0..sides.counts.len()).all(side_within_bounds);
+        if within_bounds
+            && servers
+                .clone()
+                .all(|server| self.count_is_acceptable(server))
+        {
             return;
         }
-        let wanted = self.wanted_counts();
-        let surplus = |server: usize| self.counts[server].saturating_sub(wanted[server]);
-        let room = |server: usize| wanted[server].saturating_sub(self.counts[server]);
-        let mut givers = Queue::new(servers.clone().map(surplus));
-        let mut takers = Queue::new(servers.map(room));
-        let held = self.held_by_load().into_iter();
+        let planned = self.planned_counts();
+        let surplus = |server: usize| self.counts[server].saturating_sub(planned[server]);
+        let shortage = |server: usize| planned[server].saturating_sub(self.counts[server]);
+        let mut sources = MoveQueue::new(servers.clone().map(surplus));
+        let mut destinations = MoveQueue::new(servers.map(shortage));
+        let held = self.shards_by_load().into_iter();
         let mut held: Vec<_> = held.map(Vec::into_iter).collect();
         while self.budget_left() > 0 {
-            let (Some(from), Some(to)) = (givers.take(), takers.take()) else {
+            let (Some(from), Some(to)) = (sources.take(), destinations.take()) else {
                 return;
             };
             let Some(shard) = held[from].next() else {
@@ -36,24 +41,24 @@
         }
     }
 
-    /// Whether the server's count is no reason for moves: it is within bounds, or it has few shards since
-    /// these bring load enough.
-    fn may_stay(&self, server: usize) -> bool {
+    /// Whether the server's count causes no moves: it is within bounds, or it is low while the load of
+    /// its shards is high enough.
+    fn count_is_acceptable(&self, server: usize) -> bool {
         let bounds = &self.bounds[server];
         let count = self.counts[server];
-        bounds.contains(&count) || (count < *bounds.start() && !self.takes_load(server))
+        bounds.contains(&count) || (count < *bounds.start() && !self.has_load_headroom(server))
     }
 
-    /// Whether the server's load is far enough below its share to be given more.
-    fn takes_load(&self, server: usize) -> bool {
-        self.load_ratio(server) < 1.0 - self.allowed
+    /// Whether the server's load is far enough below its target for more shards.
+    fn has_load_headroom(&self, server: usize) -> bool {
+        self.load_ratio(server) < 1.0 - self.tolerance
     }
 
-    /// Counts that keep each server that may stay, and bring each side to its count.
-    fn wanted_counts(&self) -> Vec<usize> {
+    /// Counts that keep every server whose count is acceptable and bring each side to its target.
+    fn planned_counts(&self) -> Vec<usize> {
         let servers = 0..self.counts.len();
         let start = |server: usize| {
-            if self.may_stay(server) {
+            if self.count_is_acceptable(server) {
                 self.counts[server]
             } else if self.counts[server] < self.targets[server] {
                 self.targets[server].min(self.counts[server] + self.shards_that_fit(server))
@@ -61,18 +66,18 @@
                 self.targets[server]
             }
         };
-        let mut wanted: Vec<usize> = servers.map(start).collect();
+        let mut planned: Vec<usize> = servers.map(start).collect();
         for side in 0..self.sides.counts.len() {
-            self.bring_side_to_count(side, &mut wanted);
+            self.adjust_side_to_target(side, &mut planned);
         }
-        wanted
+        planned
     }
 
-    /// How far a server would be above its target with this count, in shards of ordinary load; a server
-    /// that its load fills counts by that.
+    /// Difference between a count and the server's target. A load above that of the server's shards at mean
+    /// load is added to the count, in shards of mean load.
     fn above_target(&self, server: usize, count: usize) -> i64 {
-        let by_load = match self.ordinary_load() {
-            load if load > 0.0 => (self.present[server] / load) as usize,
+        let by_load = match self.mean_shard_load() {
+            load if load > 0.0 => (self.current_loads[server] / load) as usize,
             _ => 0,
         };
         let heavier = by_load.saturating_sub(self.counts[server]);
@@ -80,36 +85,37 @@
     }
 
     /// Mean load of a shard.
-    fn ordinary_load(&self) -> f64 {
+    fn mean_shard_load(&self) -> f64 {
         let owned: usize = self.counts.iter().sum();
-        self.present.iter().sum::<f64>() / owned.max(1) as f64
+        self.current_loads.iter().sum::<f64>() / owned.max(1) as f64
     }
 
-    /// Shards of ordinary load that fit into what the server's load lacks.
+    /// Number of shards of mean load that fit below the server's target load.
     fn shards_that_fit(&self, server: usize) -> usize {
-        let ordinary = self.ordinary_load();
-        if ordinary <= 0.0 {
+        let mean = self.mean_shard_load();
+        if mean <= 0.0 {
             return usize::MAX / 2;
         }
-        ((self.wanted[server] - self.present[server]).max(0.0) / ordinary) as usize
+        ((self.target_loads[server] - self.current_loads[server]).max(0.0) / mean) as usize
     }
 
-    /// Takes from the servers that are most above their targets, or gives to those most below.
-    fn bring_side_to_count(&self, side: usize, wanted: &mut [usize]) {
+    /// Removes shards from the servers furthest above their targets, or adds them to those furthest
+    /// below.
+    fn adjust_side_to_target(&self, side: usize, planned: &mut [usize]) {
         let of_side = |server: &usize| self.sides.of_server[*server] == side;
-        let servers: Vec<usize> = (0..wanted.len()).filter(of_side).collect();
-        let sum: usize = servers.iter().map(|&server| wanted[server]).sum();
+        let servers: Vec<usize> = (0..planned.len()).filter(of_side).collect();
+        let sum: usize = servers.iter().map(|&server| planned[server]).sum();
         let target = self.sides.targets[side];
-        let takes = sum > target;
+        let removes = sum > target;
         let urgency = |server: usize| {
-            let above = self.above_target(server, wanted[server]);
-            if takes {
+            let above = self.above_target(server, planned[server]);
+            if removes {
                 above
             } else {
                 -above
             }
         };
-        let can_change = |server: &usize| takes || self.targets[*server] > 0;
+        let can_change = |server: &usize| removes || self.targets[*server] > 0;
         let changing = servers.into_iter().filter(can_change);
         let queue = changing.map(|server| (urgency(server), Reverse(server)));
         let mut queue: BinaryHeap<_> = queue.collect();
@@ -118,13 +124,13 @@
             let Some((urgency, Reverse(server))) = queue.pop() else {
                 return;
             };
-            if takes && wanted[server] == 0 {
+            if removes && planned[server] == 0 {
                 continue;
             }
-            wanted[server] = if takes {
-                wanted[server] - 1
+            planned[server] = if removes {
+                planned[server] - 1
             } else {
-                wanted[server] + 1
+                planned[server] + 1
             };
             missing -= 1;
             queue.push((urgency - 1, Reverse(server)));
@@ -132,10 +138,11 @@
     }
 }
 
-/// Servers by how many shards they still give or take, the most first; ties go to the first server.
-struct Queue(BinaryHeap<(usize, Reverse<usize>)>);
+/// Servers by the number of shards that they still have to lose or receive, largest first; ties go to
+/// the first server.
+struct MoveQueue(BinaryHeap<(usize, Reverse<usize>)>);
 
-impl Queue {
+impl MoveQueue {
     fn new(amounts: impl Iterator<Item = usize>) -> Self {
         let with_server = amounts
             .enumerate()
--- a/crates/placement/src/rebalance/load.rs
+++ b/crates/placement/src/rebalance/load.rs
@@ -1,84 +1,86 @@
 //! Moves shards away from servers with too much load for their weight.
 //!
-//! Invariant: a step lowers the higher of the two servers' loads by at least a part of what it moves, so
-//! that load which can't be spread, such as one very hot shard, isn't carried round and round.
+//! Invariant: a step lowers the higher of the two servers' loads by at least a fraction of the load that
+//! it moves. Load that can't be spread, such as one very hot shard, therefore isn't moved from server to
+//! server.
 
 use super::Plan;
 
-/// Least part of the moved load by which a step must lower the higher of the two loads.
-const LEAST_EFFICIENCY: f64 = 0.5;
-/// Least part of the giver's excess that a step must take away.
-const LEAST_PROGRESS: f64 = 0.01;
-/// Servers with the least load that are tried as takers.
-const TAKERS_TRIED: usize = 8;
+/// Smallest fraction of the moved load by which a step must lower the higher of the two loads.
+const MIN_EFFICIENCY: f64 = 0.5;
+/// Smallest fraction of the source's excess that a step must remove.
+const MIN_PROGRESS: f64 = 0.01;
+/// Number of least loaded servers that are tried as destinations.
+const DESTINATIONS_TRIED: usize = 8;
 
-/// What is kept besides the plan.
+/// State of the search besides the plan.
 struct Search {
-    /// Load ratio at which a server needs no more relief.
-    aim: f64,
-    /// Shards of each server that did not move yet, the lightest first.
+    /// Load ratio at which no more load is moved away from a server.
+    target_ratio: f64,
+    /// Shards of each server that haven't moved yet, in ascending order of load.
     held: Vec<Vec<usize>>,
-    /// Servers that were relieved as far as can be.
-    done: Vec<bool>,
+    /// Servers from which no more load can be moved.
+    exhausted: Vec<bool>,
 }
 
 /// A move, or two moves that swap shards.
 #[derive(Clone, Copy, Debug)]
 struct Step {
-    taker: usize,
-    given: usize,
-    returned: Option<usize>,
-    /// Fall of the higher of the two load ratios, for each move.
+    destination: usize,
+    moved: usize,
+    swapped: Option<usize>,
+    /// Decrease of the higher of the two load ratios, per move.
     gain: f64,
 }
 
-/// Relieves each server that is over its share by more than the allowed part, down to half of that.
+/// Moves load away from each server that exceeds its target by more than the tolerance, down to half of
+/// the tolerance.
 pub(super) fn move_away_from_load(plan: &mut Plan<'_>) {
-    let trigger = 1.0 + plan.allowed;
-    if !usable(plan).any(|server| plan.load_ratio(server) > trigger) {
+    let trigger = 1.0 + plan.tolerance;
+    if !weighted_servers(plan).any(|server| plan.load_ratio(server) > trigger) {
         return;
     }
     let mut search = Search::new(plan);
-    while let Some(giver) = search.most_loaded(plan) {
-        if plan.load_ratio(giver) <= trigger {
+    while let Some(source) = search.most_loaded(plan) {
+        if plan.load_ratio(source) <= trigger {
             return;
         }
-        while plan.load_ratio(giver) > search.aim {
+        while plan.load_ratio(source) > search.target_ratio {
             if plan.budget_left() == 0 {
                 return;
             }
-            let Some(step) = search.best_step(plan, giver) else {
+            let Some(step) = search.best_step(plan, source) else {
                 break;
             };
-            search.apply(plan, giver, step);
+            search.apply(plan, source, step);
         }
-        search.done[giver] = true;
+        search.exhausted[source] = true;
     }
 }
 
 impl Search {
     fn new(plan: &Plan<'_>) -> Self {
-        let mut held = plan.held_by_load();
+        let mut held = plan.shards_by_load();
         for shards in &mut held {
             shards.retain(|&shard| !plan.moved[shard]);
         }
         Self {
-            aim: 1.0 + plan.allowed / 2.0,
-            done: vec![false; held.len()],
+            target_ratio: 1.0 + plan.tolerance / 2.0,
+            exhausted: vec![false; held.len()],
             held,
         }
     }
 
     fn most_loaded(&self, plan: &Plan<'_>) -> Option<usize> {
-        usable(plan)
-            .filter(|&server| !self.done[server])
+        weighted_servers(plan)
+            .filter(|&server| !self.exhausted[server])
             .max_by(|&left, &right| plan.load_ratio(left).total_cmp(&plan.load_ratio(right)))
     }
 
-    fn apply(&mut self, plan: &mut Plan<'_>, giver: usize, step: Step) {
-        self.move_one(plan, step.given, giver, step.taker);
-        if let Some(returned) = step.returned {
-            self.move_one(plan, returned, step.taker, giver);
+    fn apply(&mut self, plan: &mut Plan<'_>, source: usize, step: Step) {
+        self.move_one(plan, step.moved, source, step.destination);
+        if let Some(swapped) = step.swapped {
+            self.move_one(plan, swapped, step.destination, source);
         }
     }
 
@@ -87,65 +89,70 @@
         plan.move_shard(shard, from, to);
     }
 
-    fn best_step(&self, plan: &Plan<'_>, giver: usize) -> Option<Step> {
-        let takers = least_loaded(plan, giver).into_iter();
-        let steps = takers.flat_map(|taker| {
-            let single = self.best_single(plan, giver, taker);
-            let swap = self.best_swap(plan, giver, taker);
+    fn best_step(&self, plan: &Plan<'_>, source: usize) -> Option<Step> {
+        let destinations = least_loaded(plan, source).into_iter();
+        let steps = destinations.flat_map(|destination| {
+            let single = self.best_single(plan, source, destination);
+            let swap = self.best_swap(plan, source, destination);
             single.into_iter().chain(swap)
         });
-        // The first of equal steps stays, which is the one with the least loaded taker.
+        // Keeps the first of equal steps, which has the least loaded destination.
         steps.reduce(better)
     }
 
-    fn best_single(&self, plan: &Plan<'_>, giver: usize, taker: usize) -> Option<Step> {
-        if !counts_allow_move(plan, giver, taker) {
+    fn best_single(&self, plan: &Plan<'_>, source: usize, destination: usize) -> Option<Step> {
+        if !counts_allow_move(plan, source, destination) {
             return None;
         }
-        let load = evening_load(plan, giver, taker);
-        let steps = nearest(plan, &self.held[giver], load).filter_map(|given| {
-            let gain = self.gain(plan, giver, taker, plan.load_of(given))?;
+        let load = balancing_load(plan, source, destination);
+        let steps = nearest(plan, &self.held[source], load).filter_map(|moved| {
+            let gain = self.gain(plan, source, destination, plan.load_of(moved))?;
             Some(Step {
-                taker,
-                given,
-                returned: None,
+                destination,
+                moved,
+                swapped: None,
                 gain,
             })
         });
         steps.reduce(better)
     }
 
-    fn best_swap(&self, plan: &Plan<'_>, giver: usize, taker: usize) -> Option<Step> {
+    fn best_swap(&self, plan: &Plan<'_>, source: usize, destination: usize) -> Option<Step> {
         if plan.budget_left() < 2 {
             return None;
         }
-        let wanted = evening_load(plan, giver, taker);
-        let pairs = self.held[giver].iter().flat_map(|&given| {
-            let returned = nearest(plan, &self.held[taker], plan.load_of(given) - wanted);
-            returned.map(move |returned| (given, returned))
+        let difference = balancing_load(plan, source, destination);
+        let pairs = self.held[source].iter().flat_map(|&moved| {
+            let swapped = nearest(
+                plan,
+                &self.held[destination],
+                plan.load_of(moved) - difference,
+            );
+            swapped.map(move |swapped| (moved, swapped))
         });
-        let steps = pairs.filter_map(|(given, returned)| {
-            let load = plan.load_of(given) - plan.load_of(returned);
-            let gain = self.gain(plan, giver, taker, load)? / 2.0;
+        let steps = pairs.filter_map(|(moved, swapped)| {
+            let load = plan.load_of(moved) - plan.load_of(swapped);
+            let gain = self.gain(plan, source, destination, load)? / 2.0;
             Some(Step {
-                taker,
-                given,
-                returned: Some(returned),
+                destination,
+                moved,
+                swapped: Some(swapped),
                 gain,
             })
         });
         steps.reduce(better)
     }
 
-    /// Fall of the higher load ratio of the two when `load` goes from one to the other; `None` when that
-    /// is too little.
-    fn gain(&self, plan: &Plan<'_>, giver: usize, taker: usize, load: f64) -> Option<f64> {
-        let ratio = plan.load_ratio(giver);
-        let part = load / plan.wanted[giver];
-        let taker_after = (plan.present[taker] + load) / plan.wanted[taker];
-        let gain = ratio - (ratio - part).max(taker_after);
-        let progress = (ratio - self.aim) * LEAST_PROGRESS;
-        let is_enough = gain > 0.0 && gain >= progress && gain >= part * LEAST_EFFICIENCY;
+    /// Decrease of the higher load ratio of the two servers when `load` moves between them; `None` when
+    /// it is too small.
+    fn gain(&self, plan: &Plan<'_>, source: usize, destination: usize, load: f64) -> Option<f64> {
+        let ratio = plan.load_ratio(source);
+        let part = load / plan.target_loads[source];
+        let destination_after =
+            (plan.current_loads[destination] + load) / plan.target_loads[destination];
+        let gain = ratio - (ratio - part).max(destination_after);
+        let progress = (ratio - self.target_ratio) * MIN_PROGRESS;
+        let is_enough = gain > 0.0 && gain >= progress && gain >= part * MIN_EFFICIENCY;
         is_enough.then_some(gain)
     }
 }
@@ -158,42 +165,46 @@
     }
 }
 
-fn usable<'a>(plan: &'a Plan<'_>) -> impl Iterator<Item = usize> + 'a {
-    (0..plan.wanted.len()).filter(|&server| plan.wanted[server] > 0.0)
+fn weighted_servers<'a>(plan: &'a Plan<'_>) -> impl Iterator<Item = usize> + 'a {
+    (0..plan.target_loads.len()).filter(|&server| plan.target_loads[server] > 0.0)
 }
 
-fn least_loaded(plan: &Plan<'_>, giver: usize) -> Vec<usize> {
-    let mut takers: Vec<usize> = usable(plan).filter(|&server| server != giver).collect();
+fn least_loaded(plan: &Plan<'_>, source: usize) -> Vec<usize> {
+    let mut destinations: Vec<usize> = weighted_servers(plan)
+        .filter(|&server| server != source)
+        .collect();
     let by_ratio = |left: &usize, right: &usize| {
         let by_ratio = plan.load_ratio(*left).total_cmp(&plan.load_ratio(*right));
         by_ratio.then(left.cmp(right))
     };
-    if takers.len() > TAKERS_TRIED {
-        takers.select_nth_unstable_by(TAKERS_TRIED, by_ratio);
-        takers.truncate(TAKERS_TRIED);
+    if destinations.len() > DESTINATIONS_TRIED {
+        destinations.select_nth_unstable_by(DESTINATIONS_TRIED, by_ratio);
+        destinations.truncate(DESTINATIONS_TRIED);
     }
-    takers.sort_by(by_ratio);
-    takers
+    destinations.sort_by(by_ratio);
+    destinations
 }
 
-/// Whether one shard may go over without one in return.
-fn counts_allow_move(plan: &Plan<'_>, giver: usize, taker: usize) -> bool {
+/// Whether one shard may move without another in return.
+fn counts_allow_move(plan: &Plan<'_>, source: usize, destination: usize) -> bool {
     let sides = &plan.sides;
-    let (from, to) = (sides.of_server[giver], sides.of_server[taker]);
+    let (from, to) = (sides.of_server[source], sides.of_server[destination]);
     let sides_allow = from == to
         || (sides.counts[from] > *sides.bounds[from].start()
             && sides.counts[to] < *sides.bounds[to].end());
-    sides_allow && plan.counts[taker] < *plan.bounds[taker].end()
+    sides_allow && plan.counts[destination] < *plan.bounds[destination].end()
 }
 
-/// Load whose move makes the two servers' ratios equal.
-fn evening_load(plan: &Plan<'_>, giver: usize, taker: usize) -> f64 {
-    let (giver_wanted, taker_wanted) = (plan.wanted[giver], plan.wanted[taker]);
-    let difference = plan.present[giver] * taker_wanted - plan.present[taker] * giver_wanted;
-    difference / (giver_wanted + taker_wanted)
+/// Load whose move makes the load ratios of the two servers equal.
+fn balancing_load(plan: &Plan<'_>, source: usize, destination: usize) -> f64 {
+    let (source_target, destination_target) =
+        (plan.target_loads[source], plan.target_loads[destination]);
+    let difference = plan.current_loads[source] * destination_target
+        - plan.current_loads[destination] * source_target;
+    difference / (source_target + destination_target)
 }
 
-/// The shards whose loads are next below and next above a load; `held` has the lightest first.
+/// Shards with the loads next below and next above a load; `held` must be in ascending order of load.
 fn nearest<'a>(plan: &Plan<'_>, held: &'a [usize], load: f64) -> impl Iterator<Item = usize> + 'a {
     let above = held.partition_point(|&shard| plan.load_of(shard) < load);
     held[above.saturating_sub(1)..held.len().min(above + 1)]
--- a/crates/placement/src/targets.rs
+++ b/crates/placement/src/targets.rs
@@ -1,4 +1,4 @@
-//! What each server should carry.
+//! Target weights and shard counts of servers.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 
 use crate::Candidate;
 
-/// The weight of each server for [`Candidate`]: its side's share, divided among the side's eligible
-/// servers by their own weights.
+/// Weight of each server for [`Candidate`]: its side's share, divided among the side's eligible servers
+/// in proportion to their own weights.
 ///
-/// `eligible[position]` says whether the server at that position may receive shards now. Weights add up
-/// to the sum of the shares of those sides that have an eligible server; a side without one leaves its
-/// share to the others.
+/// `eligible[position]` tells whether the server at that position may receive shards now. The weights
+/// add up to the sum of the shares of all sides with an eligible server, so the share of a side without
+/// one is distributed to the other sides.
 pub fn target_weights(sides: &[SideShare], servers: &[Server], eligible: &[bool]) -> Vec<f64> {
     let mut side_weights: BTreeMap<&SideName, f64> = BTreeMap::new();
     let is_eligible = |position: usize| eligible.get(position).copied().unwrap_or(false);
@@ -35,7 +35,8 @@
     servers.iter().enumerate().map(weight_of).collect()
 }
 
-/// Count of shards that follows each server's weight, not rounded; all zero when no server is eligible.
+/// Number of shards that follows from each server's weight, not rounded; all zero when no server is
+/// eligible.
 pub(crate) fn exact_shares(candidates: &[Candidate], shards: usize) -> Vec<f64> {
     let total: f64 = candidates.iter().map(Candidate::effective_weight).sum();
     let share = |candidate: &Candidate| match candidate.effective_weight() {
@@ -45,10 +46,10 @@
     candidates.iter().map(share).collect()
 }
 
-/// Whole counts of shards that follow the weights and add up to `shards`.
+/// Whole numbers of shards that follow the weights and add up to `shards`.
 ///
-/// Each is the exact share rounded up or down; of the servers, those that hold more than the rounded
-/// down share now are rounded up first, so that rounding moves nothing. All zero when no server is eligible.
+/// Each is the exact share rounded up or down. Servers that hold more than their share rounded down are
+/// rounded up first, so that rounding causes no moves. All zero when no server is eligible.
 pub fn target_counts(candidates: &[Candidate], counts: &[usize], shards: usize) -> Vec<usize> {
     let exact = exact_shares(candidates, shards);
     let mut targets: Vec<usize> = exact.iter().map(|share| share.floor() as usize).collect();
--- a/crates/placement/tests/algorithms.rs
+++ b/crates/placement/tests/algorithms.rs
@@ -1,4 +1,4 @@
-//! The compared ways to place shards.
+//! The placement algorithms of the comparison.
 
 mod common;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn each_places_every_shard_and_repeats_itself() {
+fn each_places_every_shard_deterministically() {
     for algorithm in ALGORITHMS {
         let owners = vec![None; 1024];
         let placed = place(algorithm, &[1.0; 20], &owners);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn those_that_keep_owners_follow_weights_to_the_shard() {
+fn algorithms_that_keep_owners_follow_weights_exactly() {
     let owners = round_robin(4, 400);
     for algorithm in [&Greedy as &dyn Algorithm, &ThresholdRounds] {
         let after = place_all(algorithm, &[3.0, 3.0, 1.0, 1.0], &owners, false);
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Settings of property tests: the same cases at each run.
+/// Settings of property tests: the same cases in each run.
 pub fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -23,7 +23,7 @@
     weights.iter().map(candidate).collect()
 }
 
-/// Servers of any kind, also odd ones, and owners that may point past them.
+/// Arbitrary servers, including invalid weights, and owners that may be out of range.
 pub fn any_fleet() -> impl Strategy<Value = (Vec<Candidate>, Vec<Option<usize>>)> {
     let weight = prop_oneof![
         6 => 0.1..10.0f64,
--- a/crates/placement/tests/orphans.rs
+++ b/crates/placement/tests/orphans.rs
@@ -6,8 +6,9 @@
 use grebepin_placement::{assign_orphans, owners_after_loss, Candidate, LeastLoaded};
 use proptest::prelude::*;
 
-/// The rule in its plainest form: each orphan to the least count for its weight, first server on ties.
-fn plain(candidates: &[Candidate], owners: &[Option<usize>]) -> Vec<(usize, usize)> {
+/// Reference implementation: each orphan goes to the server with the fewest shards for its weight, the
+/// first one on ties.
+fn reference(candidates: &[Candidate], owners: &[Option<usize>]) -> Vec<(usize, usize)> {
     let kept = |owner: &Option<usize>| {
         owner.filter(|&server| candidates.get(server).is_some_and(|one| one.eligible))
     };
@@ -31,7 +32,7 @@
 
     #[test]
     fn orphans_go_to_the_least_loaded((candidates, owners) in any_fleet()) {
-        prop_assert_eq!(assign_orphans(&candidates, &owners), plain(&candidates, &owners));
+        prop_assert_eq!(assign_orphans(&candidates, &owners), reference(&candidates, &owners));
     }
 }
 
@@ -65,11 +66,11 @@
 }
 
 #[test]
-fn load_counts_as_shards() {
+fn load_above_the_mean_counts_as_shards() {
     let cases: [(&[f64], [usize; 3]); 4] = [
         (&[], [37, 7, 6]),
         (&[0.0, 0.0, 0.0], [37, 7, 6]),
-        // The first has few shards, and a load that would be 105 ordinary ones.
+        // The first server has few shards, but a load of 105 shards of mean load.
         (&[50.0, 25.0, 25.0], [0, 25, 25]),
         (&[f64::NAN, -1.0, f64::INFINITY], [37, 7, 6]),
     ];
--- a/crates/placement/tests/rebalance.rs
+++ b/crates/placement/tests/rebalance.rs
@@ -1,4 +1,4 @@
-//! Planned moves: few, within their budget, and no more than needed.
+//! Planned moves: no more than needed, and within their budget.
 
 mod common;
 
@@ -10,7 +10,7 @@
 };
 use proptest::prelude::*;
 
-const NO_BOUND: RebalancePolicy = RebalancePolicy {
+const UNBOUNDED: RebalancePolicy = RebalancePolicy {
     budget: usize::MAX,
     imbalance_percent: 10,
     relieves_load: true,
@@ -35,7 +35,7 @@
     sums
 }
 
-fn most_over_mean(sums: &[f64]) -> f64 {
+fn max_over_mean(sums: &[f64]) -> f64 {
     let mean = sums.iter().sum::<f64>() / sums.len() as f64;
     sums.iter().fold(0.0, |most: f64, &sum| most.max(sum)) / mean
 }
@@ -50,7 +50,7 @@
         (&[0.0, 0.0, 0.0, 1.0], [0, 0, 0, 400], 300),
     ];
     for (weights, expected, moved) in cases {
-        let moves = rebalance(&candidates(weights), &owners, &[], &NO_BOUND);
+        let moves = rebalance(&candidates(weights), &owners, &[], &UNBOUNDED);
         assert_eq!(moves.len(), moved, "{weights:?}");
         assert_eq!(counts(4, &apply(&owners, &moves)), expected);
     }
@@ -60,7 +60,7 @@
 fn a_difference_of_one_shard_moves_nothing() {
     let owners = [vec![Some(0); 11], vec![Some(1); 10], vec![Some(2); 9]].concat();
     assert_eq!(
-        rebalance(&candidates(&[1.0; 3]), &owners, &[], &NO_BOUND),
+        rebalance(&candidates(&[1.0; 3]), &owners, &[], &UNBOUNDED),
         vec![]
     );
 }
@@ -70,7 +70,7 @@
     let owners = [vec![Some(0); 60], vec![Some(1); 30]].concat();
     let policy = RebalancePolicy {
         budget: 4,
-        ..NO_BOUND
+        ..UNBOUNDED
     };
     let moves = rebalance(&candidates(&[1.0; 3]), &owners, &[], &policy);
     assert_eq!(moves.len(), 4);
@@ -83,7 +83,7 @@
 fn lightest_shards_move_for_counts() {
     let owners = vec![Some(0); 10];
     let loads: Vec<f64> = (0..10).map(|shard| f64::from((shard * 7) % 10)).collect();
-    let moves = rebalance(&candidates(&[1.0; 2]), &owners, &loads, &NO_BOUND);
+    let moves = rebalance(&candidates(&[1.0; 2]), &owners, &loads, &UNBOUNDED);
     let moved: BTreeSet<u64> = moves[..5]
         .iter()
         .map(|one| loads[one.shard] as u64)
@@ -92,40 +92,40 @@
 }
 
 #[test]
-fn load_is_spread_without_unsettling_counts() {
+fn load_is_spread_while_counts_stay_even() {
     // Server 0 holds the 40 busiest of 400 shards.
     let owners: Vec<Option<usize>> = (0..400).map(|shard| Some(shard / 100)).collect();
     let loads: Vec<f64> = (0..400)
         .map(|shard| if shard < 40 { 5.0 } else { 1.0 })
         .collect();
     let before = server_loads(4, &owners, &loads);
-    let moves = rebalance(&candidates(&[1.0; 4]), &owners, &loads, &NO_BOUND);
+    let moves = rebalance(&candidates(&[1.0; 4]), &owners, &loads, &UNBOUNDED);
     let after = apply(&owners, &moves);
-    assert!(most_over_mean(&before) > 1.8);
-    assert!(most_over_mean(&server_loads(4, &after, &loads)) <= 1.05);
+    assert!(max_over_mean(&before) > 1.8);
+    assert!(max_over_mean(&server_loads(4, &after, &loads)) <= 1.05);
     assert!(counts(4, &after)
         .iter()
         .all(|count| count.abs_diff(100) <= 1));
     assert!(moves.len() <= 70, "{} moves", moves.len());
     assert_eq!(
-        rebalance(&candidates(&[1.0; 4]), &after, &loads, &NO_BOUND),
+        rebalance(&candidates(&[1.0; 4]), &after, &loads, &UNBOUNDED),
         vec![]
     );
 }
 
-/// Servers 0 to 2 are one side, 3 to 5 the other; all hold 100 shards.
+/// Servers 0 to 2 are one side and 3 to 5 the other; each holds 100 shards.
 const SIDES: [usize; 6] = [7, 7, 7, usize::MAX, usize::MAX, usize::MAX];
 
 #[test]
-fn a_server_with_a_hot_shard_gives_others_to_its_own_side() {
+fn a_server_with_a_hot_shard_moves_others_within_its_side() {
     let owners = round_robin(6, 600);
     let mut loads = vec![1.0; 600];
     loads[0] = 40.0;
     let six = candidates(&[1.0; 6]);
-    let moves = rebalance_sides(&six, &SIDES, &owners, &loads, &NO_BOUND);
+    let moves = rebalance_sides(&six, &SIDES, &owners, &loads, &UNBOUNDED);
     let after = apply(&owners, &moves);
     assert_eq!(after[0], Some(0));
-    assert!(most_over_mean(&server_loads(6, &after, &loads)) <= 1.13);
+    assert!(max_over_mean(&server_loads(6, &after, &loads)) <= 1.13);
     let counts = counts(6, &after);
     assert!(
         counts[..3].iter().sum::<usize>().abs_diff(300) <= 1,
@@ -134,11 +134,11 @@
     assert!(counts.iter().all(|&count| count <= 110), "{counts:?}");
     assert!(moves.len() <= 30, "{} moves", moves.len());
     assert_eq!(
-        rebalance_sides(&six, &SIDES, &after, &loads, &NO_BOUND),
+        rebalance_sides(&six, &SIDES, &after, &loads, &UNBOUNDED),
         vec![]
     );
-    // Once it has cooled down, the server gets shards back.
-    let moves = rebalance_sides(&six, &SIDES, &after, &[1.0; 600], &NO_BOUND);
+    // When the hot shard has cooled down, the server receives shards again.
+    let moves = rebalance_sides(&six, &SIDES, &after, &[1.0; 600], &UNBOUNDED);
     let cool = common::counts(6, &apply(&after, &moves));
     assert!(
         cool.iter().all(|count| count.abs_diff(100) <= 10),
@@ -150,7 +150,7 @@
 fn a_small_change_of_sides_moves_exactly_the_difference() {
     let owners = round_robin(6, 600);
     let weights = [1.04, 1.04, 1.04, 0.96, 0.96, 0.96];
-    let moves = rebalance_sides(&candidates(&weights), &SIDES, &owners, &[], &NO_BOUND);
+    let moves = rebalance_sides(&candidates(&weights), &SIDES, &owners, &[], &UNBOUNDED);
     assert_eq!(moves.len(), 12);
     let counts = counts(6, &apply(&owners, &moves));
     assert_eq!(counts, [104, 104, 104, 96, 96, 96]);
@@ -164,13 +164,13 @@
         .flat_map(|(server, &count)| vec![Some(server); count])
         .collect();
     let six = candidates(&[1.0; 6]);
-    let moves = rebalance_sides(&six, &SIDES, &owners, &[], &NO_BOUND);
+    let moves = rebalance_sides(&six, &SIDES, &owners, &[], &UNBOUNDED);
     let counts = counts(6, &apply(&owners, &moves));
     assert_eq!(counts, [109, 100, 91, 100, 100, 100]);
 }
 
 #[test]
-fn only_servers_over_the_trigger_give_for_load() {
+fn only_servers_over_the_trigger_lose_shards_for_load() {
     let owners = round_robin(6, 600);
     let load = |shard: usize| match shard % 6 {
         0 => 1.4,
@@ -179,11 +179,11 @@
     };
     let loads: Vec<f64> = (0..600).map(load).collect();
     let six = candidates(&[1.0; 6]);
-    let moves = rebalance_sides(&six, &[0; 6], &owners, &loads, &NO_BOUND);
+    let moves = rebalance_sides(&six, &[0; 6], &owners, &loads, &UNBOUNDED);
     assert!(!moves.is_empty());
     assert!(moves.iter().all(|planned| planned.from == 0));
     let after = server_loads(6, &apply(&owners, &moves), &loads);
-    assert!(most_over_mean(&after) <= 1.08, "{after:?}");
+    assert!(max_over_mean(&after) <= 1.08, "{after:?}");
 }
 
 #[test]
@@ -193,36 +193,36 @@
         .map(|shard| if shard % 4 == 0 { 1.09 } else { 1.0 })
         .collect();
     assert_eq!(
-        rebalance(&candidates(&[1.0; 4]), &owners, &loads, &NO_BOUND),
+        rebalance(&candidates(&[1.0; 4]), &owners, &loads, &UNBOUNDED),
         vec![]
     );
 }
 
 #[test]
-fn one_shard_that_is_too_hot_is_not_carried_round() {
+fn one_shard_that_is_too_hot_stays() {
     let owners = round_robin(4, 8);
     let loads = [100.0, 1.0, 1.0, 1.0, 0.0, 0.0, 0.0, 0.0];
     assert_eq!(
-        rebalance(&candidates(&[1.0; 4]), &owners, &loads, &NO_BOUND),
+        rebalance(&candidates(&[1.0; 4]), &owners, &loads, &UNBOUNDED),
         vec![]
     );
 }
 
 #[test]
-fn neighbours_of_a_hot_shard_leave_and_it_stays() {
+fn other_shards_of_a_server_with_a_hot_shard_move_and_the_hot_one_stays() {
     let owners = round_robin(4, 16);
     let mut loads = vec![0.0; 16];
     loads[0] = 100.0;
     for shard in [4, 8, 12] {
         loads[shard] = 1.0;
     }
-    let moves = rebalance_sides(&candidates(&[1.0; 4]), &[0; 4], &owners, &loads, &NO_BOUND);
+    let moves = rebalance_sides(&candidates(&[1.0; 4]), &[0; 4], &owners, &loads, &UNBOUNDED);
     let mut moved: Vec<usize> = moves.iter().map(|planned| planned.shard).collect();
     moved.sort();
     assert_eq!(moved, [4, 8, 12]);
 }
 
-/// Server 0 has 20 shards that bring much load each, and some room for more; the others 116 light ones.
+/// Server 0 has 20 heavy shards and headroom for more; the other servers have 116 light ones each.
 fn heavy_and_light() -> (Vec<Option<usize>>, Vec<f64>) {
     let counts = [20, 116, 116, 116, 116, 116];
     let of_server = |(server, count): (usize, usize)| vec![Some(server); count];
@@ -232,20 +232,20 @@
 }
 
 #[test]
-fn a_server_is_given_only_what_its_load_has_room_for() {
+fn a_server_receives_only_what_its_load_has_headroom_for() {
     let (owners, loads) = heavy_and_light();
     let six = candidates(&[1.0; 6]);
-    let moves = rebalance_sides(&six, &[0; 6], &owners, &loads, &NO_BOUND);
+    let moves = rebalance_sides(&six, &[0; 6], &owners, &loads, &UNBOUNDED);
     let after = apply(&owners, &moves);
     let given = counts(6, &after)[0] - 20;
     assert!((20..=40).contains(&given), "{given}");
     assert_eq!(moves.len(), given);
-    assert!(most_over_mean(&server_loads(6, &after, &loads)) <= 1.1);
+    assert!(max_over_mean(&server_loads(6, &after, &loads)) <= 1.1);
 }
 
 #[test]
-fn a_side_that_grows_spares_its_loaded_server() {
-    // Servers 0 to 2 are to have 60 shards more than they do; server 0 has few, and load enough.
+fn a_growing_side_adds_no_load_to_its_loaded_server() {
+    // Servers 0 to 2 should have 60 shards more than they do; server 0 has few shards but enough load.
     let counts_before = [60, 120, 120, 100, 100, 100];
     let of_server = |(server, count): (usize, usize)| vec![Some(server); count];
     let owners: Vec<Option<usize>> = counts_before
@@ -258,7 +258,7 @@
     let weights = [36.0, 36.0, 36.0, 24.0, 24.0, 24.0];
     let policy = RebalancePolicy {
         imbalance_percent: 20,
-        ..NO_BOUND
+        ..UNBOUNDED
     };
     let fleet = candidates(&weights);
     let moves = rebalance_sides(&fleet, &SIDES, &owners, &loads, &policy);
@@ -275,11 +275,11 @@
 }
 
 #[test]
-fn odd_loads_are_borne() {
+fn invalid_loads_count_as_zero() {
     let owners = round_robin(2, 6);
     let loads = [f64::NAN, f64::INFINITY, -5.0, 0.0];
     assert_eq!(
-        rebalance(&candidates(&[1.0; 2]), &owners, &loads, &NO_BOUND),
+        rebalance(&candidates(&[1.0; 2]), &owners, &loads, &UNBOUNDED),
         vec![]
     );
 }
@@ -306,7 +306,7 @@
     #![proptest_config(fixed_cases(512))]
 
     #[test]
-    fn moves_keep_to_their_bounds(
+    fn moves_stay_within_their_bounds(
         (candidates, owners) in any_fleet(),
         loads in prop::collection::vec(0.0..50.0f64, 0..120),
         budget in 0..200usize,
@@ -320,10 +320,10 @@
     }
 
     #[test]
-    fn repeated_plans_come_to_rest(
+    fn repeated_plans_converge(
         weights in prop::collection::vec(0.5..4.0f64, 1..8),
         sides in prop::collection::vec(0..8usize, 0..8),
-        each_its_own in any::<bool>(),
+        separate_sides in any::<bool>(),
         owners in prop::collection::vec(0..8usize, 0..120),
         loads in prop::collection::vec(0.0..50.0f64, 120),
         budget in 2..20usize,
@@ -333,7 +333,7 @@
             owners.iter().map(|server| Some(server % weights.len())).collect();
         let policy = RebalancePolicy { budget, imbalance_percent: 10, relieves_load: true };
         for _ in 0..400 {
-            let moves = if each_its_own {
+            let moves = if separate_sides {
                 rebalance(&candidates, &owners, &loads, &policy)
             } else {
                 rebalance_sides(&candidates, &sides, &owners, &loads, &policy)
@@ -347,14 +347,15 @@
     }
 }
 
-/// Moves for load after server 1 of 6 is lost, while server 0 was relieved of its hot shard's neighbours.
+/// Number of moves for load after the loss of server 1 of 6, when shards had moved away from server 0
+/// because of a hot one.
 fn moves_after_loss(with_loads: bool) -> usize {
     let mut loads = vec![1.0; 600];
     loads[0] = 60.0;
     let mut fleet = candidates(&[1.0; 6]);
     let sides = [0; 6];
     let owners = round_robin(6, 600);
-    let planned = rebalance_sides(&fleet, &sides, &owners, &loads, &NO_BOUND);
+    let planned = rebalance_sides(&fleet, &sides, &owners, &loads, &UNBOUNDED);
     let mut owners = apply(&owners, &planned);
     let before = server_loads(6, &owners, &loads);
     fleet[1].eligible = false;
@@ -368,11 +369,11 @@
     for owner in owners.iter_mut().filter(|owner| **owner == Some(1)) {
         *owner = receivers.take();
     }
-    rebalance_sides(&fleet, &sides, &owners, &loads, &NO_BOUND).len()
+    rebalance_sides(&fleet, &sides, &owners, &loads, &UNBOUNDED).len()
 }
 
 #[test]
-fn a_loss_beside_a_hot_server_calls_for_no_second_moves() {
+fn a_loss_next_to_a_hot_server_causes_no_further_moves() {
     assert_eq!(moves_after_loss(true), 0);
     assert!(moves_after_loss(false) > 20);
 }
--- a/crates/placement/tests/relief.rs
+++ b/crates/placement/tests/relief.rs
@@ -1,4 +1,4 @@
-//! Plans that heed loads but relieve no server of load.
+//! Plans that take loads into account but move no shard away from overloaded servers.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 const SIDE: [usize; 3] = [0; 3];
 
-const WITHOUT_RELIEF: RebalancePolicy = RebalancePolicy {
+const WITHOUT_LOAD_MOVES: RebalancePolicy = RebalancePolicy {
     budget: usize::MAX,
     imbalance_percent: 20,
     relieves_load: false,
@@ -26,24 +26,24 @@
 }
 
 #[test]
-fn counts_are_evened_out_and_a_hot_server_gets_nothing() {
+fn counts_are_balanced_and_a_hot_server_receives_nothing() {
     let counts_before = [40, 170, 90].into_iter().enumerate();
     let of_server = |(server, count): (usize, usize)| vec![Some(server); count];
     let mut owners: Vec<Option<usize>> = counts_before.flat_map(of_server).collect();
-    for planned in plan(&owners, 250.0, &WITHOUT_RELIEF) {
+    for planned in plan(&owners, 250.0, &WITHOUT_LOAD_MOVES) {
         owners[planned.shard] = Some(planned.to);
     }
     assert_eq!(counts(3, &owners), [40, 130, 130]);
-    assert_eq!(plan(&owners, 250.0, &WITHOUT_RELIEF), vec![]);
+    assert_eq!(plan(&owners, 250.0, &WITHOUT_LOAD_MOVES), vec![]);
 }
 
 #[test]
-fn even_counts_rest_whatever_the_load() {
+fn even_counts_stay_whatever_the_load() {
     let owners = round_robin(3, 300);
-    assert_eq!(plan(&owners, 60.0, &WITHOUT_RELIEF), vec![]);
+    assert_eq!(plan(&owners, 60.0, &WITHOUT_LOAD_MOVES), vec![]);
     let relieving = RebalancePolicy {
         relieves_load: true,
-        ..WITHOUT_RELIEF
+        ..WITHOUT_LOAD_MOVES
     };
     assert!(!plan(&owners, 60.0, &relieving).is_empty());
 }
--- a/crates/placement/tests/targets.rs
+++ b/crates/placement/tests/targets.rs
@@ -1,4 +1,4 @@
-//! What each server should carry.
+//! Target weights and counts of servers.
 
 mod common;
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn rounding_follows_what_is_held() {
+fn rounding_keeps_current_counts_where_possible() {
     type Case = (&'static [f64], &'static [usize], usize, &'static [usize]);
     let cases: [Case; 4] = [
         (&[1.0, 1.0, 1.0], &[3, 4, 3], 10, &[3, 4, 3]),
@@ -76,7 +76,7 @@
     #![proptest_config(fixed_cases(256))]
 
     #[test]
-    fn whole_targets_add_up((candidates, owners) in any_fleet(), shards in 0..500usize) {
+    fn rounded_targets_add_up((candidates, owners) in any_fleet(), shards in 0..500usize) {
         let within = |owner: &Option<usize>| owner.filter(|&server| server < candidates.len());
         let owners: Vec<Option<usize>> = owners.iter().map(within).collect();
         let found = target_counts(&candidates, &counts(candidates.len(), &owners), shards);
