--- /dev/null
+++ b/crates/gateway/src/in_flight.rs
@@ -0,0 +1,153 @@
+//! Requests in flight: accepted from a client and not yet answered.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use grebepin_catalog::{InstanceId, RequestKind, Route};
+use grebepin_reactor::http::Request;
+use mio::Token;
+
+/// Identifies a request in flight within this process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct InFlightId(pub u64);
+
+/// State of a request in flight.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum InFlightState {
+    /// About to be dispatched.
+    Dispatching,
+    /// Waits until the key's shard has an owner with a higher fence.
+    AwaitingOwner {
+        /// Fence under which the shard has no usable owner; 0 if there was none.
+        fence: u64,
+    },
+    /// Waits for the delay before a retry at the key's owner, which rejected the request.
+    AwaitingRetry,
+    /// Waits for the leader's permit to go to the key's owner, which states a rate.
+    AwaitingPermit {
+        /// The owner.
+        server: InstanceId,
+    },
+    /// Waits for capacity at the key's owner, or at any server of the service.
+    AwaitingCapacity,
+    /// Assigned to a connection to a server.
+    Assigned {
+        connection: Token,
+        server: InstanceId,
+        /// When the request was assigned to the connection.
+        since: Duration,
+    },
+}
+
+/// A request in flight.
+#[derive(Debug)]
+pub struct InFlightRequest {
+    /// Connection of the client.
+    pub client: Token,
+    /// The request as it was received.
+    pub message: Request,
+    /// Id that the client gave this attempt; empty if it sent none.
+    pub request_id: String,
+    pub route_name: String,
+    pub route: Arc<Route>,
+    /// Service that executes the request.
+    pub service: String,
+    /// Key of the request; `None` if it carries none.
+    pub key: Option<u16>,
+    /// Shard of the key; `None` for a pooled service.
+    pub shard: Option<usize>,
+    /// Whether the client most likely retries a request that was refused before.
+    pub is_client_retry: bool,
+    /// When the first byte arrived.
+    pub received_at: Duration,
+    /// When the client stops waiting.
+    pub deadline: Duration,
+    /// When the gateway gives the request up.
+    pub expires: Duration,
+    /// Number of attempts at a server, without those whose connection was not established.
+    pub attempts: u32,
+    /// Number of connections that could not be established for this request.
+    pub connect_failures: u32,
+    /// Servers that it was assigned to, in order, including those that could not be reached.
+    pub tried_servers: Vec<InstanceId>,
+    /// The server that the request may be sent to under the leader's permit or this gateway's turn.
+    pub permitted_server: Option<InstanceId>,
+    pub state: InFlightState,
+}
+
+impl InFlightRequest {
+    /// Whether the request may be executed more than once.
+    pub fn kind(&self) -> RequestKind {
+        self.route.kind
+    }
+
+    /// Ids of [`Self::tried_servers`], for logs.
+    pub fn tried_server_ids(&self) -> String {
+        let ids: Vec<String> = self.tried_servers.iter().map(ToString::to_string).collect();
+        ids.join(",")
+    }
+}
+
+/// All requests in flight.
+#[derive(Debug, Default)]
+pub struct InFlightRequests {
+    next: u64,
+    requests: HashMap<InFlightId, InFlightRequest>,
+}
+
+impl InFlightRequests {
+    pub fn add(&mut self, request: InFlightRequest) -> InFlightId {
+        self.next += 1;
+        let id = InFlightId(self.next);
+        self.requests.insert(id, request);
+        id
+    }
+
+    pub fn get(&self, id: InFlightId) -> Option<&InFlightRequest> {
+        self.requests.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: InFlightId) -> Option<&mut InFlightRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    pub fn remove(&mut self, id: InFlightId) -> Option<InFlightRequest> {
+        self.requests.remove(&id)
+    }
+
+    pub fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Requests of a service that wait for capacity, ordered by priority and then by age.
+    pub fn awaiting_capacity(&self, service: &str) -> Vec<InFlightId> {
+        let waiting = self.requests.iter();
+        let mut waiting: Vec<(u32, Duration, InFlightId)> = waiting
+            .filter(|(_, one)| {
+                one.state == InFlightState::AwaitingCapacity && one.service == service
+            })
+            .map(|(id, request)| (request.route.priority, request.received_at, *id))
+            .collect();
+        waiting.sort();
+        waiting.into_iter().map(|(_, _, id)| id).collect()
+    }
+
+    /// Requests of a service that wait before a retry at their key's owner, with their shards.
+    pub fn awaiting_retry(&self, service: &str) -> Vec<(InFlightId, usize)> {
+        let waiting = self.requests.iter();
+        waiting
+            .filter(|(_, one)| one.state == InFlightState::AwaitingRetry && one.service == service)
+            .filter_map(|(id, one)| Some((*id, one.shard?)))
+            .collect()
+    }
+
+    /// Requests that wait for an owner.
+    pub fn awaiting_owner(&self) -> Vec<InFlightId> {
+        let waiting = self.requests.iter();
+        waiting
+            .filter(|(_, request)| matches!(request.state, InFlightState::AwaitingOwner { .. }))
+            .map(|(id, _)| *id)
+            .collect()
+    }
+}
