--- a/crates/directory/src/node/leading.rs
+++ b/crates/directory/src/node/leading.rs
@@ -44,7 +44,7 @@
             self.end_leadership();
         }
         let applied_all = self.applied >= self.consensus.commit();
-        if self.leadership.is_none() && self.consensus.leads_with_commit() && applied_all {
+        if self.leadership.is_none() && self.consensus.has_committed_in_term() && applied_all {
             self.begin_leadership(now, term);
         }
         self.tick_leadership(now);
@@ -195,10 +195,10 @@
     /// The incarnation that a leave call refers to: the latest known one if the call does not state its start
     /// time.
     fn leaving_incarnation(&self, server: InstanceId) -> InstanceId {
-        if server.states_start() {
+        if server.has_start_time() {
             return server;
         }
-        let latest = self.catalog.latest_life(&server);
+        let latest = self.catalog.latest_incarnation(&server);
         latest.map_or(server, |latest| latest.id.clone())
     }
 
--- a/crates/grants/src/heartbeat.rs
+++ b/crates/grants/src/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use grebepin_catalog::{InstanceId, KeyRow, KEYS_PER_SHARD, SHARDS};
+use grebepin_catalog::{InstanceId, KeyRange, KEYS_PER_SHARD, SHARDS};
 use serde::{Deserialize, Serialize};
 
 /// Range of keys that a server reports as held.
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// Key ranges with their fences and handover texts. Keys that aren't listed must be released.
-    pub rows: Vec<KeyRow>,
+    pub rows: Vec<KeyRange>,
     /// Duration of the lease, counted by the server from the moment it sent the heartbeat.
     pub lease: Duration,
 }
--- a/crates/grants/src/rows.rs
+++ b/crates/grants/src/rows.rs
@@ -1,6 +1,6 @@
 //! Builds the rows of a heartbeat response and keeps them within its size limit.
 
-use grebepin_catalog::{InstanceId, KeyRow, ShardOwnership, KEYS_PER_SHARD};
+use grebepin_catalog::{InstanceId, KeyRange, ShardOwnership, KEYS_PER_SHARD};
 
 use crate::heartbeat::Heartbeat;
 use crate::placement::MAX_ROWS;
@@ -17,17 +17,17 @@
     ownership: &ShardOwnership,
     server: &Server,
     heartbeat: &Heartbeat,
-) -> Vec<KeyRow> {
+) -> Vec<KeyRange> {
     let granted = ownership
         .owned_by(&heartbeat.id)
         .filter(|shard| !server.releasing.contains_key(shard));
     let (taken, new): (Vec<usize>, Vec<usize>) = granted
         .partition(|shard| heartbeat.fence_of(*shard) == Some(ownership.shards()[*shard].fence));
-    let mut rows = ownership.rows(taken.into_iter());
+    let mut rows = ownership.key_ranges(taken.into_iter());
     for row in &mut rows {
         row.handover.clear();
     }
-    rows.extend(ownership.rows(new.into_iter()));
+    rows.extend(ownership.key_ranges(new.into_iter()));
     drop_handovers_beyond_limit(&mut rows);
     rows
 }
@@ -43,7 +43,7 @@
         .owned_by(id)
         .filter(|shard| !server.releasing.contains_key(shard))
         .collect();
-    let rows = ownership.rows(kept.iter().copied());
+    let rows = ownership.key_ranges(kept.iter().copied());
     let Some(first_surplus) = rows.get(MAX_ROWS) else {
         return;
     };
@@ -56,7 +56,7 @@
 
 /// Drops handover texts that would exceed the limit of a response. A server without the text starts cold
 /// for these keys, which makes them slow for a while.
-fn drop_handovers_beyond_limit(rows: &mut [KeyRow]) {
+fn drop_handovers_beyond_limit(rows: &mut [KeyRange]) {
     let mut left = RESPONSE_BYTES.saturating_sub(rows.len() * ROW_BYTES);
     for row in rows {
         match row.handover.len() <= left {
