--- a/crates/directory/src/call.rs
+++ b/crates/directory/src/call.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use grebepin_catalog::{InstanceId, ItemChange, ItemKind};
-use grebepin_grants::Beat;
+use grebepin_grants::Heartbeat;
 use serde::{Deserialize, Serialize};
 
 /// A call that any replica accepts and the leader answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     /// Heartbeat of a server, with the keys that it holds.
-    Heartbeat(Beat),
+    Heartbeat(Heartbeat),
     /// A server announces that it is shutting down.
     Leave(InstanceId),
     /// An operator changes configuration items.
--- a/crates/directory/src/node/leading.rs
+++ b/crates/directory/src/node/leading.rs
@@ -5,7 +5,7 @@
 
 use grebepin_catalog::{Command, Entry, InstanceId, InstanceState, Item, ItemChange, ItemContent};
 use grebepin_consensus::ProposeError;
-use grebepin_grants::{Beat, BeatOutcome, Coordinator, Grant};
+use grebepin_grants::{Coordinator, Grant, Heartbeat, HeartbeatOutcome};
 use grebepin_reactor::encode_frame;
 use grebepin_schema::{LogIndex, Member, ReplicaId, Term};
 use grebepin_storage::Disk;
@@ -133,25 +133,25 @@
         self.outputs.push(output);
     }
 
-    fn handle_heartbeat(&mut self, now: Duration, id: CallId, heartbeat: Beat) {
+    fn handle_heartbeat(&mut self, now: Duration, id: CallId, heartbeat: Heartbeat) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         match leadership
             .coordinator
-            .on_beat(now, &self.catalog, &heartbeat)
+            .on_heartbeat(now, &self.catalog, &heartbeat)
         {
-            BeatOutcome::Stale => self.reply(
+            HeartbeatOutcome::Stale => self.reply(
                 id,
                 Reply::Heartbeat {
                     grant: None,
                     endpoint: None,
                 },
             ),
-            BeatOutcome::Fresh(commands) if commands.is_empty() => {
+            HeartbeatOutcome::Fresh(commands) if commands.is_empty() => {
                 self.answer_heartbeat(now, id, &heartbeat)
             }
-            BeatOutcome::Fresh(commands) => {
+            HeartbeatOutcome::Fresh(commands) => {
                 self.propose_for(
                     now,
                     commands,
@@ -162,7 +162,7 @@
     }
 
     /// Answers a heartbeat whose commands are applied.
-    pub(super) fn answer_heartbeat(&mut self, now: Duration, id: CallId, heartbeat: &Beat) {
+    pub(super) fn answer_heartbeat(&mut self, now: Duration, id: CallId, heartbeat: &Heartbeat) {
         if !self.holds_leader_lease(now) {
             return self.reply(id, Reply::Unavailable(UnavailableReason::LeaseOver));
         }
--- a/crates/traffic/tests/table.rs
+++ b/crates/traffic/tests/table.rs
@@ -1,10 +1,10 @@
-//! The routing table: order of snapshots and deltas, and what is refused.
+//! Routing table: ordering of snapshots and deltas, and rejection of inconsistent frames.
 
 use grebepin_schema::{
     Bundle, Epoch, GroupId, LogIndex, OwnerChange, ServerStanding, ServiceTable, ShardId,
     ShardOwner, StandingChange, Table, TableDelta, TableSnapshot,
 };
-use grebepin_traffic::{ApplyError, Change, Guards, RoutingTable};
+use grebepin_traffic::{ApplyError, ApplyOutcome, Guards, RoutingTable};
 
 const GROUP: GroupId = GroupId(1);
 const SHARDS: u32 = 1200;
@@ -71,20 +71,20 @@
     let mut table = RoutingTable::new(GROUP, Guards::all());
     assert_eq!(
         table.apply_snapshot(&snapshot(index, 3)),
-        Ok(Change::Applied)
+        Ok(ApplyOutcome::Applied)
     );
     table
 }
 
 #[test]
-fn a_snapshot_is_put_in_force_only_when_it_is_newer() {
+fn a_snapshot_is_applied_only_if_it_is_newer() {
     for (index, version, applied) in [(9, 2, false), (10, 3, false), (11, 4, true)] {
         let mut table = table_at(10);
         let change = table.apply_snapshot(&snapshot(index, version));
         let expected = if applied {
-            Change::Applied
+            ApplyOutcome::Applied
         } else {
-            Change::Stale
+            ApplyOutcome::Stale
         };
         assert_eq!(change, Ok(expected), "index {index}");
         assert_eq!(table.index(), LogIndex(index.max(10)));
@@ -93,16 +93,16 @@
 }
 
 #[test]
-fn a_delta_is_put_in_force_when_nothing_is_missing() {
+fn a_delta_is_applied_only_without_a_gap() {
     let gap = ApplyError::Gap {
         have: LogIndex(10),
         previous: LogIndex(12),
     };
     let table = [
-        (delta(10, 12, 7, 1), Ok(Change::Applied)),
-        (delta(4, 12, 7, 1), Ok(Change::Applied)),
-        (delta(4, 10, 7, 1), Ok(Change::Stale)),
-        (delta(4, 6, 7, 1), Ok(Change::Stale)),
+        (delta(10, 12, 7, 1), Ok(ApplyOutcome::Applied)),
+        (delta(4, 12, 7, 1), Ok(ApplyOutcome::Applied)),
+        (delta(4, 10, 7, 1), Ok(ApplyOutcome::Stale)),
+        (delta(4, 6, 7, 1), Ok(ApplyOutcome::Stale)),
         (delta(12, 13, 7, 1), Err(gap)),
         (
             delta(10, 12, SHARDS, 1),
@@ -120,7 +120,7 @@
     for (delta, expected) in table {
         let mut table = table_at(10);
         assert_eq!(table.apply_delta(&delta), expected);
-        let applied = expected == Ok(Change::Applied);
+        let applied = expected == Ok(ApplyOutcome::Applied);
         assert_eq!(table.index(), LogIndex(if applied { 12 } else { 10 }));
         let route = table.service("carne-ledger").expect("service");
         let seventh = route.owner_of_shard(ShardId(7));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_copy_keeps_its_owners_and_shares_what_did_not_change() {
+fn a_changed_clone_leaves_the_original_unchanged() {
     let before = table_at(10);
     let mut after = before.clone();
     after.apply_delta(&delta(10, 11, 1100, 1)).expect("applies");
@@ -171,23 +171,26 @@
     };
     let mut table = table_at(10);
     assert!(table.apply_delta(&change("server-9")).is_err());
-    assert_eq!(table.apply_delta(&change("server-0")), Ok(Change::Applied));
+    assert_eq!(
+        table.apply_delta(&change("server-0")),
+        Ok(ApplyOutcome::Applied)
+    );
     let route = table.service("carne-ledger").expect("service");
     let (_, standing) = route.owner("some key").server.expect("owner");
     assert_eq!(standing, ServerStanding::Draining);
 }
 
 #[test]
-fn frames_that_do_not_fit_are_refused_whole() {
+fn an_inconsistent_snapshot_leaves_the_table_unchanged() {
     let mut wrong_group = snapshot(20, 9);
     wrong_group.group = GroupId(2);
-    let mut short = snapshot(20, 9);
-    short.table.services[0].owners.pop();
-    let mut standings = snapshot(20, 9);
-    standings.table.services[0].standings.pop();
-    let mut stranger = snapshot(20, 9);
-    stranger.table.services[0].owners[0] = owner(2, 20);
-    for frame in [wrong_group, short, standings, stranger] {
+    let mut missing_owner = snapshot(20, 9);
+    missing_owner.table.services[0].owners.pop();
+    let mut missing_standing = snapshot(20, 9);
+    missing_standing.table.services[0].standings.pop();
+    let mut unknown_owner = snapshot(20, 9);
+    unknown_owner.table.services[0].owners[0] = owner(2, 20);
+    for frame in [wrong_group, missing_owner, missing_standing, unknown_owner] {
         let mut table = table_at(10);
         assert!(table.apply_snapshot(&frame).is_err());
         assert_eq!((table.index(), table.bundle_version()), (LogIndex(10), 3));
@@ -216,10 +219,13 @@
 
 #[cfg(feature = "removable-guards")]
 #[test]
-fn without_the_guard_an_older_table_comes_back() {
+fn without_the_guard_an_older_table_is_applied() {
     let guards = Guards::without(grebepin_traffic::Guard::MonotonicTable);
     let mut table = RoutingTable::new(GROUP, guards);
     table.apply_snapshot(&snapshot(10, 3)).expect("applies");
-    assert_eq!(table.apply_snapshot(&snapshot(9, 2)), Ok(Change::Applied));
+    assert_eq!(
+        table.apply_snapshot(&snapshot(9, 2)),
+        Ok(ApplyOutcome::Applied)
+    );
     assert_eq!((table.index(), table.bundle_version()), (LogIndex(9), 2));
 }
