--- a/crates/bundle/src/finding.rs
+++ b/crates/bundle/src/finding.rs
@@ -39,7 +39,7 @@
         maximum: u64,
     },
     /// A list is empty that must not be.
-    #[error("at least one entry is required")]
+    #[error("at least one is needed")]
     Empty,
     /// The paths of the service would be those of the control calls of back ends.
     #[error("the name {name} is reserved: its paths are those of the back ends' control calls")]
@@ -56,7 +56,7 @@
         first: String,
     },
     /// All shares of a service are zero.
-    #[error("all shares are zero; at least one side must have a share")]
+    #[error("all shares are zero; no side may carry the service")]
     AllSharesZero,
     /// A side has a share of the shards but no server.
     #[error("the side has a share and no server")]
@@ -88,7 +88,7 @@
         prefix: String,
     },
     /// An HTTP method is empty or contains characters other than upper-case letters.
-    #[error("{method:?} is not an HTTP method in upper-case letters")]
+    #[error("{method:?} is not an HTTP method in capital letters")]
     InvalidMethod {
         /// The invalid method.
         method: String,
@@ -100,7 +100,7 @@
         earlier: String,
     },
     /// The first bundle of a deployment has a parent.
-    #[error("the first bundle must not have a parent")]
+    #[error("the first bundle has no parent")]
     UnexpectedParent,
     /// The parent of the bundle is not the accepted bundle.
     #[error("the accepted bundle is {accepted}, version {accepted_version}; start from that one")]
@@ -125,13 +125,13 @@
         accepted: String,
     },
     /// The number of shards of a service changed.
-    #[error("a service keeps its {accepted} shards permanently; create a new service and migrate")]
+    #[error("a service keeps its {accepted} shards for life; make a new service and migrate")]
     ShardCountChanged {
         /// Number of shards in the accepted bundle.
         accepted: u32,
     },
     /// A server was moved to another service, although it may still hold shards of the previous one.
-    #[error("the server served {accepted} and may still hold its shards; use a new name for the new server")]
+    #[error("the server served {accepted}; give the new one a new name, the old may hold shards")]
     ServerChangedService {
         /// Service in the accepted bundle.
         accepted: String,
--- a/crates/bundle/src/sign_off.rs
+++ b/crates/bundle/src/sign_off.rs
@@ -23,7 +23,7 @@
         operator: OperatorName,
     },
     /// A signature under the name of a trusted operator is not valid for this bundle and the operator's key.
-    #[error("the signature of operator {} does not match this bundle; sign it again", operator.as_str())]
+    #[error("the signature of operator {} is not over this bundle; sign it again", operator.as_str())]
     BadSignature {
         /// Operator named in the signature.
         operator: OperatorName,
