--- a/crates/placement/tests/targets.rs
+++ b/crates/placement/tests/targets.rs
@@ -1,9 +1,9 @@
-//! What each server should carry.
+//! Target weights and counts of servers.
 
 mod common;
 
 use common::{any_fleet, can_own, candidates, counts, fixed_cases};
-use grebepin_placement::{target_counts, targets};
+use grebepin_placement::{target_counts, target_weights};
 use grebepin_schema::{Server, SideShare};
 use proptest::prelude::*;
 use serde_json::json;
@@ -50,13 +50,13 @@
         ([("old", 70), ("new", 30)], [false; 5], [0.0; 5]),
     ];
     for (shares, eligible, expected) in cases {
-        let found = targets(&sides(&shares), &servers(&rows), &eligible);
+        let found = target_weights(&sides(&shares), &servers(&rows), &eligible);
         assert_eq!(found, expected, "{shares:?} {eligible:?}");
     }
 }
 
 #[test]
-fn rounding_follows_what_is_held() {
+fn rounding_keeps_current_counts_where_possible() {
     type Case = (&'static [f64], &'static [usize], usize, &'static [usize]);
     let cases: [Case; 4] = [
         (&[1.0, 1.0, 1.0], &[3, 4, 3], 10, &[3, 4, 3]),
@@ -76,7 +76,7 @@
     #![proptest_config(fixed_cases(256))]
 
     #[test]
-    fn whole_targets_add_up((candidates, owners) in any_fleet(), shards in 0..500usize) {
+    fn rounded_targets_add_up((candidates, owners) in any_fleet(), shards in 0..500usize) {
         let within = |owner: &Option<usize>| owner.filter(|&server| server < candidates.len());
         let owners: Vec<Option<usize>> = owners.iter().map(within).collect();
         let found = target_counts(&candidates, &counts(candidates.len(), &owners), shards);
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions on the way of a request: routing table, admission, retry budget, ramp, ejection, and
-//! the state machine of one request.
+//! Request routing decisions without I/O: routing table, admission, retry budget, slow start, ejection,
+//! and the state machine of one request.
 //!
 //! Invariant: nothing here reads a clock, a socket or a random source. Every time is a
 //! [`std::time::Duration`] since the start of the process.
@@ -14,12 +14,14 @@
 pub mod retry;
 pub mod table;
 
-pub use admission::{Admission, AdmissionConfig, AdmissionEvent, AdmissionRefusal, Offer, Ticket};
+pub use admission::{
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionEvent, AdmissionRefusal, Ticket,
+};
 pub use ejection::{Ejection, EjectionConfig, Verdict};
 pub use flow::{
-    FinalAnswer, Finding, FlowAction, FlowInput, LossReason, RequestFlow, RequestSpec, Target,
+    FinalAnswer, FlowAction, FlowInput, LossReason, OwnerLookup, RequestFlow, RequestSpec, Target,
 };
 pub use guards::{Guard, Guards};
 pub use ramp::Ramp;
 pub use retry::RetryBudget;
-pub use table::{ApplyError, Change, Owner, RoutingTable, ServiceRoute};
+pub use table::{ApplyError, ApplyOutcome, Owner, RoutingTable, ServiceRoute};
