--- a/crates/control/examples/failover.rs
+++ b/crates/control/examples/failover.rs
@@ -1,5 +1,5 @@
-//! Lets a fault befall the leader of a group of three processes, again and again, and measures how long
-//! no replica accepts a bundle, and how long after its return the group is whole again.
+//! Repeatedly injects a fault into the leader of a group of three processes, and measures how long no replica
+//! accepts a bundle, and how long after the recovery of the replica all members are alive voters again.
 //!
 //! `cargo run --release -p grebepin-control --example failover -- --rounds 20`
 
@@ -17,34 +17,34 @@
 use serde_json::json;
 
 const REPLICAS: usize = 3;
-const RETRY: Duration = Duration::from_millis(2);
-const LIMIT: Duration = Duration::from_secs(30);
+const RETRY_INTERVAL: Duration = Duration::from_millis(2);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Parser)]
 struct Arguments {
-    /// Leaders to kill.
+    /// Number of faults to inject.
     #[arg(long, default_value_t = 20)]
     rounds: usize,
-    /// What befalls each leader.
+    /// Fault injected into each leader.
     #[arg(long, value_enum, default_value_t = Fault::Kill)]
     fault: Fault,
-    /// The daemon; by default the one built next to this program.
+    /// Path of the daemon; by default the one built next to this program.
     #[arg(long)]
     daemon: Option<PathBuf>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 enum Fault {
-    /// Killed, and started again.
+    /// Kill the process and start it again.
     Kill,
-    /// Killed, and started again with an empty folder.
+    /// Kill the process and start it again with an empty data directory.
     LoseFolder,
-    /// Frozen, and woken as if nothing had happened.
+    /// Stop the process by SIGSTOP and continue it by SIGCONT.
     Freeze,
 }
 
 struct Replica {
-    /// Whether it is frozen.
+    /// Whether the process is stopped by SIGSTOP.
     frozen: bool,
     settings: PathBuf,
     folder: PathBuf,
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    fn strike(&mut self, fault: Fault) -> anyhow::Result<()> {
+    fn inject(&mut self, fault: Fault) -> anyhow::Result<()> {
         match fault {
             Fault::Kill | Fault::LoseFolder => self.kill(),
             Fault::Freeze => {
@@ -74,7 +74,7 @@
         }
     }
 
-    fn bring_back(&mut self, fault: Fault, daemon: &Path) -> anyhow::Result<()> {
+    fn recover(&mut self, fault: Fault, daemon: &Path) -> anyhow::Result<()> {
         if fault == Fault::LoseFolder {
             fs::remove_dir_all(&self.folder)?;
         }
@@ -86,7 +86,10 @@
     }
 
     fn signal(&self, signal: &str) -> anyhow::Result<()> {
-        let process = self.process.as_ref().context("it runs")?;
+        let process = self
+            .process
+            .as_ref()
+            .context("the process is not running")?;
         let number = process.id().to_string();
         let status = Command::new("kill").args([signal, &number]).status()?;
         if !status.success() {
@@ -95,7 +98,7 @@
         Ok(())
     }
 
-    fn answers(&self) -> bool {
+    fn is_running(&self) -> bool {
         self.process.is_some() && !self.frozen
     }
 
@@ -128,29 +131,31 @@
     let signed = first_bundle()?;
     found(&replicas)?;
     until_accepted(&replicas, &signed)?;
-    let mut gaps = Vec::new();
-    let mut repairs = Vec::new();
+    let mut outages = Vec::new();
+    let mut recoveries = Vec::new();
     for _ in 0..arguments.rounds {
-        let leader = retry(|| leader_of_whole_group(&replicas))?;
-        replicas[leader].strike(arguments.fault)?;
-        let struck = Instant::now();
+        let leader = retry(|| leader_of_complete_group(&replicas))?;
+        replicas[leader].inject(arguments.fault)?;
+        let injected_at = Instant::now();
         until_accepted(&replicas, &signed)?;
-        gaps.push(struck.elapsed());
-        replicas[leader].bring_back(arguments.fault, &daemon)?;
-        let restarted = Instant::now();
-        retry(|| leader_of_whole_group(&replicas))?;
-        repairs.push(restarted.elapsed());
+        outages.push(injected_at.elapsed());
+        replicas[leader].recover(arguments.fault, &daemon)?;
+        let recovered_at = Instant::now();
+        retry(|| leader_of_complete_group(&replicas))?;
+        recoveries.push(recovered_at.elapsed());
     }
     println!("from          rounds  median ms  p90 ms  worst ms");
-    report("fault", gaps);
-    report("return", repairs);
+    report("fault", outages);
+    report("return", recoveries);
     Ok(())
 }
 
 fn default_daemon() -> anyhow::Result<PathBuf> {
     let program = std::env::current_exe()?;
     let folder = program.parent().and_then(Path::parent);
-    Ok(folder.context("a target folder")?.join("grebepin-control"))
+    Ok(folder
+        .context("the program is not in a target directory")?
+        .join("grebepin-control"))
 }
 
 fn signing_key() -> SigningKey {
@@ -224,7 +229,7 @@
     })
 }
 
-/// A client that asks one replica once.
+/// A client of one replica, without retries.
 fn client(replica: &Replica) -> AdminClient {
     let options = ClientOptions {
         timeout: Duration::from_secs(2),
@@ -256,9 +261,9 @@
     Ok(())
 }
 
-/// Sends the bundle, first or again, until a leader has committed it.
+/// Submits the bundle until a leader confirms that it is committed; submitting it again is idempotent.
 fn until_accepted(replicas: &[Replica], signed: &SignedBundle) -> anyhow::Result<()> {
-    let running = replicas.iter().filter(|replica| replica.answers());
+    let running = replicas.iter().filter(|replica| replica.is_running());
     let clients: Vec<AdminClient> = running.map(client).collect();
     retry(|| clients.iter().find_map(|client| client.roll(signed).ok())).map(|_| ())
 }
@@ -269,23 +274,23 @@
         if let Some(value) = attempt() {
             return Ok(value);
         }
-        if started.elapsed() > LIMIT {
-            bail!("not within {LIMIT:?}");
+        if started.elapsed() > RETRY_TIMEOUT {
+            bail!("no success within {RETRY_TIMEOUT:?}");
         }
-        std::thread::sleep(RETRY);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
 
-/// The leader, once it hears every member and all of them are voters.
-fn leader_of_whole_group(replicas: &[Replica]) -> Option<usize> {
-    let whole = |status: &Status| {
+/// The leader, once all members are voters and alive.
+fn leader_of_complete_group(replicas: &[Replica]) -> Option<usize> {
+    let is_complete = |status: &Status| {
         status.leader == Some(status.replica)
             && status.members.len() == REPLICAS
             && status.tolerated.replicas as usize == REPLICAS / 2
     };
     replicas.iter().position(|replica| {
         let status = client(replica).status_of(replica.admin);
-        status.is_ok_and(|status| whole(&status))
+        status.is_ok_and(|status| is_complete(&status))
     })
 }
 
--- a/crates/control/examples/node_cost.rs
+++ b/crates/control/examples/node_cost.rs
@@ -1,4 +1,4 @@
-//! What a control leader spends on its routers and its table: processor time and bytes.
+//! Measures the CPU time and bytes that a control leader spends on its routers and its table.
 //!
 //! `cargo run --release -p grebepin-control --example node_cost`
 
@@ -33,21 +33,24 @@
     println!("one change of the table, pushed to followers (one replica, simulated disk)");
     println!("followers  us/change  us/follower  bytes/follower");
     for followers in FOLLOWERS {
-        push_changes(followers)?;
+        measure_pushes(followers)?;
     }
     println!();
     println!("the whole table and the state's snapshot");
     println!("   shards  frame bytes  encode ms  snapshot bytes  snapshot ms");
     for shards in SHARDS {
-        whole_table(shards)?;
+        measure_full_table(shards)?;
     }
     Ok(())
 }
 
-/// Time that this thread was on a processor.
-fn processor_time() -> anyhow::Result<Duration> {
+/// CPU time of this thread.
+fn cpu_time() -> anyhow::Result<Duration> {
     let text = fs::read_to_string("/proc/thread-self/schedstat")?;
-    let first = text.split_whitespace().next().context("a first figure")?;
+    let first = text
+        .split_whitespace()
+        .next()
+        .context("schedstat is empty")?;
     Ok(Duration::from_nanos(first.parse()?))
 }
 
@@ -89,7 +92,7 @@
     })
 }
 
-/// One replica that is driven by hand.
+/// One replica on a simulated disk, stepped by the benchmark.
 struct Driver {
     node: ControlNode<SimulatedDisk>,
     now: Duration,
@@ -133,12 +136,12 @@
         };
         driver.ask(AdminRequest::Found(request));
         while !driver.node.is_serving() {
-            driver.turn(Vec::new());
+            driver.step(Vec::new());
         }
         Ok(driver)
     }
 
-    fn turn(&mut self, inputs: Vec<NodeInput>) -> Vec<NodeOutput> {
+    fn step(&mut self, inputs: Vec<NodeInput>) -> Vec<NodeOutput> {
         self.now += STEP;
         self.node.handle(self.now, inputs)
     }
@@ -146,11 +149,11 @@
     fn ask(&mut self, request: AdminRequest) -> Vec<NodeOutput> {
         let reply = ReplyId(self.next_reply);
         self.next_reply += 1;
-        self.turn(vec![NodeInput::Admin { reply, request }])
+        self.step(vec![NodeInput::Admin { reply, request }])
     }
 }
 
-fn push_changes(followers: u64) -> anyhow::Result<()> {
+fn measure_pushes(followers: u64) -> anyhow::Result<()> {
     let mut driver = Driver::start()?;
     driver.ask(AdminRequest::SubmitBundle(Box::new(bundle(100)?)));
     for number in 0..followers {
@@ -161,22 +164,22 @@
             router: format!("router-{number}").parse()?,
             zone: "zone-0".parse()?,
         };
-        driver.turn(vec![NodeInput::Router {
+        driver.step(vec![NodeInput::Router {
             connection: ConnectionId(number),
             frame: RouterFrame::Follow(request),
         }]);
     }
     let mut bytes = 0;
     let mut frames = 0;
-    let before = processor_time()?;
-    let mut counting = Duration::ZERO;
+    let before = cpu_time()?;
+    let mut encoding_time = Duration::ZERO;
     for change in 0..CHANGES {
         let request = DrainServerRequest {
             server: "server-1".parse()?,
             draining: change % 2 == 0,
         };
         let outputs = driver.ask(AdminRequest::Drain(request));
-        let started = processor_time()?;
+        let started = cpu_time()?;
         for output in &outputs {
             if let NodeOutput::Router { frame, .. } = output {
                 if matches!(frame.as_ref(), ControlFrame::Delta(_)) {
@@ -185,9 +188,9 @@
                 }
             }
         }
-        counting += processor_time()? - started;
+        encoding_time += cpu_time()? - started;
     }
-    let spent = processor_time()? - before - counting;
+    let spent = cpu_time()? - before - encoding_time;
     if frames == 0 {
         bail!("no delta was pushed");
     }
@@ -200,19 +203,19 @@
     Ok(())
 }
 
-fn whole_table(shards: u32) -> anyhow::Result<()> {
+fn measure_full_table(shards: u32) -> anyhow::Result<()> {
     let state = assigned_state(shards)?;
     let mut frame = Vec::new();
     let mut snapshot = Vec::new();
-    let started = processor_time()?;
+    let started = cpu_time()?;
     for _ in 0..REPEATS {
         frame = encode(&ControlFrame::Snapshot(state.table()))?;
     }
-    let encoded = processor_time()?;
+    let encoded = cpu_time()?;
     for _ in 0..REPEATS {
         snapshot = state.snapshot();
     }
-    let saved = processor_time()?;
+    let saved = cpu_time()?;
     let milliseconds = |time: Duration| time.as_secs_f64() * 1e3 / f64::from(REPEATS);
     println!(
         "{shards:>9}  {:>11}  {:>9.1}  {:>14}  {:>11.1}",
--- a/crates/control/src/daemon/admin.rs
+++ b/crates/control/src/daemon/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' HTTP interface, metrics and probes.
+//! Admin HTTP interface: operators' requests, metrics and health probes.
 //!
-//! Invariant: every request gets one JSON answer; a change whose outcome isn't known in time is
+//! Invariant: every request gets one response; a change whose outcome isn't known before the timeout is
 //! answered with `lost-leadership`, which tells the operator to send it again.
 
 use std::net::{TcpListener, TcpStream};
@@ -23,10 +23,10 @@
 use crate::node::input::AdminRequest;
 use crate::node::output::AdminAnswer;
 
-/// Operators and probes connected at once.
+/// Maximum concurrent connections of operators and probes.
 const CONNECTION_LIMIT: usize = 128;
 
-/// Bounds of one connection; their count is the acceptor's.
+/// Limits of one connection; the acceptor enforces the number of connections.
 const OPTIONS: ServerOptions = ServerOptions {
     connections: CONNECTION_LIMIT,
     maximum_head: 16 << 10,
@@ -39,10 +39,10 @@
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// Longest wait for the outcome of a change.
+/// Timeout of a request to the control thread, including the commit of a change.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the interface needs.
+/// State shared by the connections of the admin interface.
 #[derive(Clone)]
 pub(super) struct AdminContext {
     pub(super) inbox: Inbox,
@@ -50,7 +50,7 @@
     pub(super) gauges: Arc<NodeGauges>,
 }
 
-/// Starts to answer operators.
+/// Starts to accept connections of operators and probes.
 pub(super) fn listen(
     listener: TcpListener,
     context: AdminContext,
@@ -62,7 +62,7 @@
         CONNECTION_LIMIT,
         stop,
         move |_, stream: TcpStream| {
-            // The acceptor ends connections by closing their reading side.
+            // No stop flag is needed: the acceptor ends connections by shutting down their read side.
             serve(stream, &OPTIONS, &context, &AtomicBool::new(false)).ok();
         },
     )
--- a/crates/control/src/daemon/back_ends.rs
+++ b/crates/control/src/daemon/back_ends.rs
@@ -1,7 +1,7 @@
 //! Calls to back ends over HTTP.
 //!
-//! Invariant: each back end has threads of its own, one for heartbeats and one for everything else, so
-//! that neither a slow back end nor a large grant delays another's lease; every call gets one answer.
+//! Invariant: each back end has its own threads, one for heartbeats and one for all other calls, so that
+//! neither a slow back end nor a large grant delays the renewal of another lease; every call gets one answer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,28 +22,29 @@
 use crate::node::input::{BackEndAnswer, CallFailure, CallId, NodeInput};
 use crate::node::output::BackEndRequest;
 
-/// Calls that may wait for one back end on one lane.
-const WAITING_CALLS: usize = 16;
+/// Capacity of a worker's call queue.
+const CALL_QUEUE_CAPACITY: usize = 16;
 
-/// Idle time after which a lane's thread ends.
-const IDLE_LIMIT: Duration = Duration::from_secs(60);
+/// Idle time after which a worker's thread ends.
+const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Idle connections kept by one lane: it makes one call after the other.
-const IDLE_CONNECTIONS: usize = 1;
+/// Idle connections kept by a worker; one is enough, since its calls are sequential.
+const MAX_IDLE_CONNECTIONS: usize = 1;
 
-/// Each buffer of a connection; an answer's head must fit into one.
+/// Size of a connection's input and output buffers; a response's head must fit into one.
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// Idle time after which a connection is closed, below what back ends usually allow.
-const IDLE_CONNECTION_AGE: Duration = Duration::from_secs(4);
+/// Idle time after which a connection is closed; below the usual keep-alive timeout of back ends, so that a
+/// call doesn't reuse a connection that the back end is closing.
+const MAX_IDLE_AGE: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum LaneKind {
+enum WorkerKind {
     Heartbeats,
     Others,
 }
 
-impl LaneKind {
+impl WorkerKind {
     fn of(request: &BackEndRequest) -> Self {
         match request {
             BackEndRequest::Heartbeat(_) => Self::Heartbeats,
@@ -57,9 +58,9 @@
     request: BackEndRequest,
 }
 
-/// Calls to every back end.
+/// Sends calls to all back ends.
 pub(super) struct BackEnds {
-    lanes: BTreeMap<(SocketAddress, LaneKind), Sender<Call>>,
+    workers: BTreeMap<(SocketAddress, WorkerKind), Sender<Call>>,
     heartbeat_timeout: Duration,
     timeout: Duration,
     inbox: Inbox,
@@ -67,7 +68,7 @@
 }
 
 impl BackEnds {
-    /// No calls yet. `heartbeat_timeout` and `timeout` bound a heartbeat and any other call.
+    /// Starts without workers. `heartbeat_timeout` applies to heartbeats, `timeout` to all other calls.
     pub(super) fn new(
         heartbeat_timeout: Duration,
         timeout: Duration,
@@ -75,7 +76,7 @@
         metrics: ControlMetrics,
     ) -> Self {
         Self {
-            lanes: BTreeMap::new(),
+            workers: BTreeMap::new(),
             heartbeat_timeout,
             timeout,
             inbox,
@@ -83,39 +84,39 @@
         }
     }
 
-    /// Starts a call; the failure, as an input, of one that can't be started.
+    /// Queues a call. If it can't be queued, returns the failure as an input for the node.
     pub(super) fn call(
         &mut self,
         id: CallId,
         address: SocketAddress,
         request: BackEndRequest,
     ) -> Option<NodeInput> {
-        let key = (address, LaneKind::of(&request));
+        let key = (address, WorkerKind::of(&request));
         let mut call = Call { id, request };
-        if let Some(lane) = self.lanes.get(&key) {
-            match lane.try_send(call) {
+        if let Some(worker) = self.workers.get(&key) {
+            match worker.try_send(call) {
                 Ok(()) => return None,
-                Err(crossbeam_channel::TrySendError::Full(_)) => return Some(busy(id)),
-                Err(crossbeam_channel::TrySendError::Disconnected(back)) => call = back,
+                Err(crossbeam_channel::TrySendError::Full(_)) => return Some(busy_input(id)),
+                Err(crossbeam_channel::TrySendError::Disconnected(returned)) => call = returned,
             }
         }
-        let Some(lane) = self.start_lane(&key) else {
-            return Some(busy(id));
+        let Some(worker) = self.start_worker(&key) else {
+            return Some(busy_input(id));
         };
-        let sent = lane.try_send(call);
-        self.lanes.insert(key, lane);
-        sent.is_err().then(|| busy(id))
+        let sent = worker.try_send(call);
+        self.workers.insert(key, worker);
+        sent.is_err().then(|| busy_input(id))
     }
 
-    fn start_lane(&self, key: &(SocketAddress, LaneKind)) -> Option<Sender<Call>> {
+    fn start_worker(&self, key: &(SocketAddress, WorkerKind)) -> Option<Sender<Call>> {
         let (address, kind) = key;
         let to: SocketAddr = address.parse().ok()?;
         let timeout = match kind {
-            LaneKind::Heartbeats => self.heartbeat_timeout,
-            LaneKind::Others => self.timeout,
+            WorkerKind::Heartbeats => self.heartbeat_timeout,
+            WorkerKind::Others => self.timeout,
         };
-        let (sender, calls) = crossbeam_channel::bounded(WAITING_CALLS);
-        let lane = Lane {
+        let (sender, calls) = crossbeam_channel::bounded(CALL_QUEUE_CAPACITY);
+        let worker = Worker {
             base: format!("http://{}/grebepin/v1", address.as_str()),
             agent: agent(to, timeout),
             inbox: self.inbox.clone(),
@@ -124,13 +125,13 @@
         thread::Builder::new()
             .name(format!("back-end-{}", address.as_str()))
             .stack_size(STACK_BYTES)
-            .spawn(move || lane.run(&calls))
+            .spawn(move || worker.run(&calls))
             .ok()?;
         Some(sender)
     }
 }
 
-fn kind_of(request: &BackEndRequest) -> &'static str {
+fn operation_label(request: &BackEndRequest) -> &'static str {
     match request {
         BackEndRequest::Heartbeat(_) => "heartbeat",
         BackEndRequest::Grant(_) => "grant",
@@ -140,21 +141,22 @@
     }
 }
 
-fn busy(call: CallId) -> NodeInput {
+fn busy_input(call: CallId) -> NodeInput {
     NodeInput::BackEnd {
         call,
         answer: Err(CallFailure::Busy),
     }
 }
 
-/// An agent for one lane. Lanes don't share one: its pool is searched from end to end for each call.
+/// Builds the HTTP client of one worker. Workers don't share a client, because `ureq` searches its whole
+/// connection pool linearly for each call.
 fn agent(address: SocketAddr, timeout: Duration) -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
         .http_status_as_error(false)
-        .max_idle_connections(IDLE_CONNECTIONS)
-        .max_idle_connections_per_host(IDLE_CONNECTIONS)
-        .max_idle_age(IDLE_CONNECTION_AGE)
+        .max_idle_connections(MAX_IDLE_CONNECTIONS)
+        .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS)
+        .max_idle_age(MAX_IDLE_AGE)
         .input_buffer_size(BUFFER_BYTES)
         .output_buffer_size(BUFFER_BYTES)
         .proxy(None)
@@ -162,7 +164,8 @@
     ureq::Agent::with_parts(config, DefaultConnector::default(), FixedAddress(address))
 }
 
-/// Gives the one address of a lane. The library's own resolver starts a thread for each call.
+/// Resolver that returns a worker's fixed address. The default resolver of `ureq` starts a thread for each
+/// call.
 #[derive(Debug)]
 struct FixedAddress(SocketAddr);
 
@@ -179,23 +182,23 @@
     }
 }
 
-/// One back end's calls of one kind, one after the other.
-struct Lane {
+/// Sends the calls of one back end and kind, one at a time.
+struct Worker {
     base: String,
     agent: ureq::Agent,
     inbox: Inbox,
     metrics: ControlMetrics,
 }
 
-impl Lane {
+impl Worker {
     fn run(&self, calls: &Receiver<Call>) {
-        while let Ok(call) = calls.recv_timeout(IDLE_LIMIT) {
+        while let Ok(call) = calls.recv_timeout(WORKER_IDLE_TIMEOUT) {
             let answer = self.call(&call.request);
             let result = match answer {
                 Ok(_) => "answered",
                 Err(_) => "failed",
             };
-            let labels = [kind_of(&call.request), result];
+            let labels = [operation_label(&call.request), result];
             let counters = &self.metrics.back_end_requests;
             counters.with_label_values(&labels).inc();
             let input = NodeInput::BackEnd {
--- a/crates/control/src/daemon/error.rs
+++ b/crates/control/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon can't start or stopped, and the exit code that says so.
+//! Errors of the daemon and their exit codes.
 
 use std::path::PathBuf;
 
@@ -8,63 +8,64 @@
 
 use crate::node::error::NodeError;
 
-/// Exit code when the data folder lost or changed bytes that had been synced.
+/// Exit code for a data directory in which synced bytes were lost or changed.
 pub const DAMAGED_EXIT_CODE: i32 = 3;
 
 const FAILURE_EXIT_CODE: i32 = 1;
 
-/// Why the daemon can't start or stopped.
+/// Error that prevented the daemon from starting or made it stop.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The settings are refused.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The data folder can't be used.
+    /// The data directory can't be opened.
     #[error("data folder {}: {source}", path.display())]
     Folder {
-        /// The folder.
+        /// Path of the data directory.
         path: PathBuf,
         /// Cause.
         source: DiskError,
     },
-    /// The data folder is damaged.
+    /// Synced data in the data directory was lost or changed.
     #[error(
         "data folder {}: {source}. Move the folder away, keep it for inspection, and start again \
          with an empty one: the replica then joins the group anew under another identity",
         path.display()
     )]
     Damaged {
-        /// The folder.
+        /// Path of the data directory.
         path: PathBuf,
         /// Cause.
         source: NodeError,
     },
-    /// The replica can't start or go on.
+    /// The node can't start or continue, for a reason other than damage.
     #[error(transparent)]
     Node(NodeError),
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[error("can't listen on {field} {address}: {reason}")]
     Listen {
-        /// Field of the settings.
+        /// Name of the settings field.
         field: &'static str,
-        /// Its value.
+        /// The address in the field.
         address: String,
-        /// What the system says.
+        /// Error of the operating system.
         reason: String,
     },
-    /// A thread could not be started, or signals can't be caught.
-    #[error("the system refused a thread or a signal handler: {0}")]
+    /// Starting a thread, installing a signal handler or querying a socket failed.
+    #[error("can't start a thread, install a signal handler or query a socket: {0}")]
     System(#[from] std::io::Error),
-    /// The metrics could not be set up.
+    /// Registering the metrics failed.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
     /// The control thread panicked.
-    #[error("the control thread ended by a fault in the program")]
+    #[error("the control thread panicked")]
     Panicked,
 }
 
 impl RunError {
-    /// Exit code of the process: 2 for settings, 3 for a damaged folder, 1 for anything else.
+    /// Exit code of the process: 2 for invalid settings, 3 for a damaged data directory, 1 for any other
+    /// error.
     pub fn exit_code(&self) -> i32 {
         match self {
             Self::Settings(_) => SETTINGS_EXIT_CODE,
--- a/crates/control/src/daemon/events.rs
+++ b/crates/control/src/daemon/events.rs
@@ -1,10 +1,10 @@
-//! Log lines for what the node notices.
+//! Logging of the node's notices.
 
 use grebepin_telemetry::{event, Event};
 
 use crate::node::output::Notice;
 
-/// Logs one notice as an event of the catalogue.
+/// Logs a notice as the corresponding telemetry event.
 pub(super) fn log(notice: &Notice) {
     match notice {
         Notice::Founded => event!(Event::GroupFounded),
--- a/crates/control/src/daemon/liveness.rs
+++ b/crates/control/src/daemon/liveness.rs
@@ -1,13 +1,13 @@
-//! Whether the control thread still turns.
+//! Liveness check of the control thread.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest time between two turns of a live control thread, which wakes far more often.
-const LONGEST_TURN: Duration = Duration::from_secs(2);
+/// Maximum time between two iterations of a live control thread, which normally wakes several times a second.
+const LIVENESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time of the control thread's last turn.
+/// Time of the control thread's last iteration, shared with the admin interface.
 #[derive(Clone, Debug)]
 pub(super) struct Liveness {
     start: Instant,
@@ -22,18 +22,19 @@
         }
     }
 
-    /// Time since the process started.
+    /// Time since `start`, the clock of the node.
     pub(super) fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    pub(super) fn turn(&self, now: Duration) {
+    /// Records an iteration of the control thread.
+    pub(super) fn record(&self, now: Duration) {
         self.last_ms
             .store(now.as_millis() as u64, Ordering::Relaxed);
     }
 
     pub(super) fn is_alive(&self) -> bool {
         let last = Duration::from_millis(self.last_ms.load(Ordering::Relaxed));
-        self.now().saturating_sub(last) <= LONGEST_TURN
+        self.now().saturating_sub(last) <= LIVENESS_TIMEOUT
     }
 }
--- a/crates/control/src/daemon/message.rs
+++ b/crates/control/src/daemon/message.rs
@@ -1,46 +1,46 @@
-//! What the input/output threads hand to the control thread.
+//! Messages from the I/O threads to the control thread.
 
 use std::sync::Arc;
 
 use crossbeam_channel::{Receiver, Sender};
 use grebepin_schema::ApiError;
 
-use super::router_links::RouterLink;
+use super::router_connections::RouterWriter;
 use crate::node::input::{AdminRequest, ConnectionId, NodeInput};
 use crate::node::output::AdminAnswer;
 
-/// Messages that may wait for the control thread; senders wait when it is full.
-const WAITING_MESSAGES: usize = 4096;
+/// Capacity of the control thread's queue; senders block while it is full.
+const INBOX_CAPACITY: usize = 4096;
 
-/// Where an operator's answer goes.
+/// Channel that the answer to an admin request is sent on.
 pub(super) type AnswerSender = Sender<Result<AdminAnswer, ApiError>>;
 
-/// One thing for the control thread.
+/// One message to the control thread.
 pub(super) enum Message {
-    /// An input of the node.
+    /// An input for the node.
     Input(NodeInput),
-    /// An operator asks.
+    /// An admin request.
     Admin {
         request: AdminRequest,
         answer: AnswerSender,
     },
-    /// A router connected; its frames follow.
+    /// A router connected; sent before any of its frames.
     RouterOpened {
         connection: ConnectionId,
-        link: RouterLink,
+        writer: RouterWriter,
     },
     /// The process should stop.
     Stop,
 }
 
-/// Hands messages to the control thread.
+/// Sending end of the control thread's queue.
 pub(super) type Inbox = Sender<Message>;
 
 pub(super) fn channel() -> (Inbox, Receiver<Message>) {
-    crossbeam_channel::bounded(WAITING_MESSAGES)
+    crossbeam_channel::bounded(INBOX_CAPACITY)
 }
 
-/// Set once the process stops; input/output threads look at it.
+/// Flag that is set when the process stops, and checked by the acceptors.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StopFlag(Arc<std::sync::atomic::AtomicBool>);
 
--- a/crates/control/src/daemon/metrics.rs
+++ b/crates/control/src/daemon/metrics.rs
@@ -1,10 +1,10 @@
-//! The replica's metrics in the form that `GET /metrics` gives.
+//! The replica's metrics, as served by `GET /metrics`.
 
 use grebepin_telemetry::{ControlMetrics, Metrics, MetricsError};
 
 use crate::node::output::NodeMetrics;
 
-/// The registry of one replica.
+/// Metrics registry of one replica.
 pub(super) struct NodeGauges {
     registry: Metrics,
     pub(super) metrics: ControlMetrics,
@@ -17,7 +17,7 @@
         Ok(Self { registry, metrics })
     }
 
-    /// Takes over the node's figures and gives the text form of all metrics.
+    /// Updates the gauges and counters from the node's values and renders all metrics as text.
     pub(super) fn render(&self, node: &NodeMetrics) -> Result<String, MetricsError> {
         let gauges = &self.metrics;
         gauges.term.set(node.term as i64);
@@ -28,13 +28,13 @@
         gauges.unowned_shards.set(node.unowned_shards as i64);
         gauges.moving_shards.set(node.moving_shards as i64);
         gauges.routers.set(node.routers as i64);
-        catch_up(&gauges.elections_won, node.leaderships);
-        catch_up(&gauges.proposals, node.proposals);
+        raise_to(&gauges.elections_won, node.leaderships);
+        raise_to(&gauges.proposals, node.proposals);
         self.registry.render()
     }
 }
 
-/// Raises a counter to a total that is counted elsewhere.
-fn catch_up(counter: &grebepin_telemetry::metrics::Counter, total: u64) {
+/// Raises a counter to a total that the node counts itself.
+fn raise_to(counter: &grebepin_telemetry::metrics::Counter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
--- a/crates/control/src/daemon/mod.rs
+++ b/crates/control/src/daemon/mod.rs
@@ -1,6 +1,6 @@
-//! The daemon: the input/output threads round the control node.
+//! The daemon: the process and its I/O threads around the control node.
 //!
-//! Invariant: one control thread owns all state; other threads only move bytes to and from it.
+//! Invariant: one control thread owns all replicated state; the other threads only do I/O for it.
 
 mod admin;
 mod back_ends;
@@ -10,9 +10,9 @@
 mod liveness;
 mod message;
 mod metrics;
-mod peer_links;
+mod peer_connections;
 mod platform;
-mod router_links;
+mod router_connections;
 mod running;
 mod sockets;
 mod timed_disk;
@@ -27,12 +27,12 @@
 pub use error::{RunError, DAMAGED_EXIT_CODE};
 pub use running::{start, Addresses, Listeners, RunningControl, Stopper};
 
-/// Runs one control replica until it is told to stop by SIGTERM or SIGINT.
+/// Runs one control replica until SIGTERM or SIGINT.
 ///
-/// With `check_only` the settings are checked, also against this machine, and nothing is started.
+/// With `check_only` the settings are validated, also against this host, and nothing is started.
 ///
 /// # Errors
-/// The settings are refused, the folder is damaged or unusable, or the replica can't go on. See
+/// The settings are invalid, the data directory is damaged or unusable, or the node failed. See
 /// [`RunError::exit_code`].
 pub fn run(settings_path: &Path, check_only: bool) -> Result<(), RunError> {
     let settings = load_control(settings_path)?;
--- a/crates/control/src/daemon/peer_links.rs
+++ b/crates/control/src/daemon/peer_connections.rs
@@ -1,7 +1,7 @@
-//! Frames to and from the other replicas over TCP.
+//! TCP connections to and from the other replicas.
 //!
-//! Invariant: sending never waits: frames to a replica that is slow or gone are dropped, which the
-//! replicated log bears like any loss on the network.
+//! Invariant: sending never blocks. Frames to a slow or unreachable replica are dropped; consensus tolerates
+//! this like any message loss on the network.
 
 use std::collections::BTreeMap;
 use std::io::BufReader;
@@ -16,19 +16,19 @@
 use grebepin_telemetry::{event, Event};
 
 use super::message::{Inbox, Message, StopFlag};
-use super::sockets::{limit_silence, prepare, Acceptor};
+use super::sockets::{set_ack_timeout, set_options, Acceptor};
 use crate::node::input::NodeInput;
 
-/// Frames that may wait for one replica.
-const WAITING_FRAMES: usize = 512;
+/// Capacity of the send queue to one replica.
+const FRAME_QUEUE_CAPACITY: usize = 512;
 
-/// Connections of other replicas at once.
+/// Maximum concurrent incoming connections.
 const CONNECTION_LIMIT: usize = 256;
 
-/// Wait after a failed connection; frames are dropped meanwhile.
-const RECONNECT_WAIT: Duration = Duration::from_millis(30);
+/// Minimum delay between two connection attempts; frames are dropped meanwhile.
+const RECONNECT_DELAY: Duration = Duration::from_millis(30);
 
-/// Starts to take in frames of other replicas.
+/// Starts to accept connections of other replicas.
 pub(super) fn listen(
     listener: TcpListener,
     inbox: Inbox,
@@ -39,11 +39,11 @@
         listener,
         CONNECTION_LIMIT,
         stop,
-        move |_, stream| take_in(&inbox, stream),
+        move |_, stream| read_frames(&inbox, stream),
     )
 }
 
-fn take_in(inbox: &Inbox, stream: TcpStream) {
+fn read_frames(inbox: &Inbox, stream: TcpStream) {
     let mut reader = BufReader::new(stream);
     while let Ok(frame) = read_frame::<PeerFrame>(&mut reader) {
         let message = Message::Input(NodeInput::Peer(frame));
@@ -53,42 +53,43 @@
     }
 }
 
-/// Outgoing connections, one for each replica.
-pub(super) struct PeerLinks {
-    links: BTreeMap<SocketAddress, Sender<PeerFrame>>,
-    silence_limit: Duration,
+/// Outgoing connections, one per replica.
+pub(super) struct PeerConnections {
+    queues: BTreeMap<SocketAddress, Sender<PeerFrame>>,
+    ack_timeout: Duration,
     sent_bytes: Counter,
 }
 
-impl PeerLinks {
-    /// No connections yet; one whose bytes stay unacknowledged for `silence_limit` is made anew.
-    pub(super) fn new(silence_limit: Duration, sent_bytes: Counter) -> Self {
+impl PeerConnections {
+    /// Starts without connections. A connection whose bytes stay unacknowledged for `ack_timeout` is closed
+    /// and opened again.
+    pub(super) fn new(ack_timeout: Duration, sent_bytes: Counter) -> Self {
         Self {
-            links: BTreeMap::new(),
-            silence_limit,
+            queues: BTreeMap::new(),
+            ack_timeout,
             sent_bytes,
         }
     }
 
-    /// Sends a frame, or drops it.
+    /// Queues a frame, or drops it if the queue is full.
     pub(super) fn send(&mut self, address: SocketAddress, frame: PeerFrame) {
-        if !self.links.contains_key(&address) {
-            let Some(link) = self.start_link(&address) else {
+        if !self.queues.contains_key(&address) {
+            let Some(queue) = self.start_connection(&address) else {
                 return;
             };
-            self.links.insert(address.clone(), link);
+            self.queues.insert(address.clone(), queue);
         }
-        if let Some(link) = self.links.get(&address) {
-            let _ = link.try_send(frame);
+        if let Some(queue) = self.queues.get(&address) {
+            let _ = queue.try_send(frame);
         }
     }
 
-    fn start_link(&self, address: &SocketAddress) -> Option<Sender<PeerFrame>> {
+    fn start_connection(&self, address: &SocketAddress) -> Option<Sender<PeerFrame>> {
         let to: SocketAddr = address.parse().ok()?;
-        let (sender, frames) = crossbeam_channel::bounded(WAITING_FRAMES);
-        let link = PeerLink {
+        let (sender, frames) = crossbeam_channel::bounded(FRAME_QUEUE_CAPACITY);
+        let connection = PeerConnection {
             to,
-            silence_limit: self.silence_limit,
+            ack_timeout: self.ack_timeout,
             sent_bytes: self.sent_bytes.clone(),
             stream: None,
             retry_at: Instant::now(),
@@ -96,23 +97,23 @@
         };
         thread::Builder::new()
             .name(format!("to-peer-{to}"))
-            .spawn(move || link.run(&frames))
+            .spawn(move || connection.run(&frames))
             .ok()?;
         Some(sender)
     }
 }
 
-/// One outgoing connection.
-struct PeerLink {
+/// One outgoing connection, owned by its thread.
+struct PeerConnection {
     to: SocketAddr,
-    silence_limit: Duration,
+    ack_timeout: Duration,
     sent_bytes: Counter,
     stream: Option<TcpStream>,
     retry_at: Instant,
     reachable: bool,
 }
 
-impl PeerLink {
+impl PeerConnection {
     fn run(mut self, frames: &Receiver<PeerFrame>) {
         while let Ok(frame) = frames.recv() {
             self.send(&frame);
@@ -136,21 +137,21 @@
     }
 
     fn connect(&mut self) {
-        let connected = TcpStream::connect_timeout(&self.to, self.silence_limit).and_then(|s| {
-            prepare(&s)?;
-            limit_silence(&s, self.silence_limit)?;
+        let connected = TcpStream::connect_timeout(&self.to, self.ack_timeout).and_then(|s| {
+            set_options(&s)?;
+            set_ack_timeout(&s, self.ack_timeout)?;
             Ok(s)
         });
         let reachable = connected.is_ok();
         if reachable != self.reachable {
-            let what = match reachable {
+            let change = match reachable {
                 true => Event::PeerReachable,
                 false => Event::PeerUnreachable,
             };
-            event!(what, peer = self.to);
+            event!(change, peer = self.to);
         }
         self.reachable = reachable;
-        self.retry_at = Instant::now() + RECONNECT_WAIT;
+        self.retry_at = Instant::now() + RECONNECT_DELAY;
         self.stream = connected.ok();
     }
 }
--- a/crates/control/src/daemon/platform.rs
+++ b/crates/control/src/daemon/platform.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of machines.
+//! Polls the platform's machine list.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -12,7 +12,7 @@
 use super::message::{Inbox, Message};
 use crate::node::input::NodeInput;
 
-/// Reads the list every `interval` until `stopped` is closed.
+/// Fetches the list every `interval`, which is also the request's timeout, until `stopped` is disconnected.
 pub(super) fn start(
     address: SocketAddr,
     interval: Duration,
@@ -28,15 +28,15 @@
     thread::Builder::new()
         .name("platform".to_owned())
         .spawn(move || {
-            let mut answering = true;
+            let mut reachable = true;
             while stopped.recv_timeout(interval)
                 == Err(crossbeam_channel::RecvTimeoutError::Timeout)
             {
-                let list = read(&agent, &url);
-                if list.is_none() && answering {
+                let list = fetch(&agent, &url);
+                if list.is_none() && reachable {
                     event!(Event::PlatformUnreachable, address = address);
                 }
-                answering = list.is_some();
+                reachable = list.is_some();
                 let Some(list) = list else { continue };
                 let message = Message::Input(NodeInput::Machines(list));
                 if inbox.send(message).is_err() {
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-fn read(agent: &ureq::Agent, url: &str) -> Option<MachineList> {
+fn fetch(agent: &ureq::Agent, url: &str) -> Option<MachineList> {
     let mut answer = agent.get(url).call().ok()?;
     let limit = MAXIMUM_BACK_END_MESSAGE_BYTES as u64;
     let body = answer.body_mut().with_config().limit(limit).read_to_vec();
--- a/crates/control/src/daemon/router_links.rs
+++ b/crates/control/src/daemon/router_connections.rs
@@ -1,7 +1,7 @@
 //! Connections of routers that follow the table.
 //!
-//! Invariant: frames leave in order; a router too slow to take them is cut off and comes back for a
-//! whole table, so that it never holds up another one.
+//! Invariant: frames are sent in order. A router that is too slow to receive them is disconnected and gets a
+//! new first frame when it reconnects, so that it never delays another router.
 
 use std::collections::BTreeMap;
 use std::io::BufReader;
@@ -20,49 +20,50 @@
 use super::sockets::{Acceptor, STACK_BYTES};
 use crate::node::input::{ConnectionId, NodeInput};
 
-/// Frames that may wait for one router.
-const WAITING_FRAMES: usize = 256;
+/// Capacity of the send queue to one router.
+const FRAME_QUEUE_CAPACITY: usize = 256;
 
-/// Routers and relays connected at once.
+/// Maximum concurrent connections of routers and relays.
 const CONNECTION_LIMIT: usize = 1024;
 
-/// Longest time that a router may take none of the bytes sent.
+/// Maximum time that a write to a router may block without progress.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest silence of a router, which reports its load more often.
+/// Maximum time without data from a router; its load reports are more frequent.
 const READ_TIMEOUT: Duration = Duration::from_secs(130);
 
-/// The control thread's end of one connection.
-pub(super) struct RouterLink {
+/// The control thread's handle of one connection.
+pub(super) struct RouterWriter {
     frames: Sender<Arc<ControlFrame>>,
     stream: TcpStream,
 }
 
-/// Every router connected.
+/// All connected routers.
 #[derive(Default)]
-pub(super) struct RouterLinks {
-    links: BTreeMap<ConnectionId, RouterLink>,
+pub(super) struct RouterConnections {
+    writers: BTreeMap<ConnectionId, RouterWriter>,
 }
 
-impl RouterLinks {
-    pub(super) fn open(&mut self, connection: ConnectionId, link: RouterLink) {
-        self.links.insert(connection, link);
+impl RouterConnections {
+    pub(super) fn open(&mut self, connection: ConnectionId, writer: RouterWriter) {
+        self.writers.insert(connection, writer);
     }
 
     pub(super) fn close(&mut self, connection: ConnectionId) {
-        if let Some(link) = self.links.remove(&connection) {
-            let _ = link.stream.shutdown(Shutdown::Both);
+        if let Some(writer) = self.writers.remove(&connection) {
+            let _ = writer.stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Sends a frame; a connection that takes no more is closed and reported as an input.
+    /// Queues a frame. If the queue is full or the writer has ended, closes the connection and returns that
+    /// as an input.
     pub(super) fn send(
         &mut self,
         connection: ConnectionId,
         frame: Arc<ControlFrame>,
     ) -> Option<NodeInput> {
-        let link = self.links.get(&connection)?;
-        let error = link.frames.try_send(frame).err()?;
+        let writer = self.writers.get(&connection)?;
+        let error = writer.frames.try_send(frame).err()?;
         if matches!(error, TrySendError::Full(_)) {
             event!(Event::RouterTooSlow, connection = connection.0);
         }
@@ -71,7 +72,7 @@
     }
 }
 
-/// Starts to take in routers.
+/// Starts to accept connections of routers.
 pub(super) fn listen(
     listener: TcpListener,
     inbox: Inbox,
@@ -102,8 +103,8 @@
 ) -> Option<()> {
     stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     stream.set_write_timeout(Some(WRITE_TIMEOUT)).ok()?;
-    let link = start_writer(connection, stream, sent_bytes.clone())?;
-    let opened = Message::RouterOpened { connection, link };
+    let writer = start_writer(connection, stream, sent_bytes.clone())?;
+    let opened = Message::RouterOpened { connection, writer };
     inbox.send(opened).ok()?;
     let mut reader = BufReader::new(stream);
     while let Ok(frame) = read_frame::<RouterFrame>(&mut reader) {
@@ -117,21 +118,21 @@
     connection: ConnectionId,
     stream: &TcpStream,
     sent_bytes: Counter,
-) -> Option<RouterLink> {
-    let (sender, frames) = crossbeam_channel::bounded(WAITING_FRAMES);
+) -> Option<RouterWriter> {
+    let (sender, frames) = crossbeam_channel::bounded(FRAME_QUEUE_CAPACITY);
     let writer = stream.try_clone().ok()?;
     thread::Builder::new()
         .name(format!("to-router-{}", connection.0))
         .stack_size(STACK_BYTES)
-        .spawn(move || write_all(writer, &frames, &sent_bytes))
+        .spawn(move || write_frames(writer, &frames, &sent_bytes))
         .ok()?;
-    Some(RouterLink {
+    Some(RouterWriter {
         frames: sender,
         stream: stream.try_clone().ok()?,
     })
 }
 
-fn write_all(mut stream: TcpStream, frames: &Receiver<Arc<ControlFrame>>, sent_bytes: &Counter) {
+fn write_frames(mut stream: TcpStream, frames: &Receiver<Arc<ControlFrame>>, sent_bytes: &Counter) {
     while let Ok(frame) = frames.recv() {
         match write_frame(&mut stream, frame.as_ref()) {
             Ok(bytes) => sent_bytes.inc_by(bytes as u64),
--- a/crates/control/src/daemon/running.rs
+++ b/crates/control/src/daemon/running.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the threads of one replica.
+//! Start and stop of one replica's threads.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -19,42 +19,42 @@
 use super::liveness::Liveness;
 use super::message::{channel, Inbox, Message, StopFlag};
 use super::metrics::NodeGauges;
-use super::peer_links::{self, PeerLinks};
+use super::peer_connections::{self, PeerConnections};
 use super::platform;
-use super::router_links::{self, RouterLinks};
+use super::router_connections::{self, RouterConnections};
 use super::sockets::Acceptor;
 use super::timed_disk::TimedDisk;
 use crate::node::config::NodeConfig;
 use crate::node::error::NodeError;
 use crate::node::ControlNode;
 
-/// Heartbeats to a server in the time that one may take.
-const HEARTBEATS_TO_WAIT: u32 = 2;
+/// Timeout of a heartbeat call, in heartbeat intervals.
+const HEARTBEAT_TIMEOUT_INTERVALS: u32 = 2;
 
-/// Sockets that are listened on already, for addresses with port 0; the settings' addresses are used
-/// for the others.
+/// Sockets that the caller has already bound, such as to port 0; for a missing one the address of the
+/// settings is bound.
 #[derive(Debug, Default)]
 pub struct Listeners {
-    /// For other replicas.
+    /// Listener for other replicas.
     pub peer: Option<TcpListener>,
-    /// For routers.
+    /// Listener for routers.
     pub router: Option<TcpListener>,
-    /// For operators.
+    /// Listener for the admin interface.
     pub admin: Option<TcpListener>,
 }
 
-/// Where a running replica is reached.
+/// Addresses that a running replica listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// By other replicas.
+    /// Address for other replicas.
     pub peer: SocketAddr,
-    /// By routers.
+    /// Address for routers.
     pub router: SocketAddr,
-    /// By operators.
+    /// Address of the admin interface.
     pub admin: SocketAddr,
 }
 
-/// A running replica; it stops when told so or when its node fails.
+/// A running replica. It stops on request or when its node fails.
 pub struct RunningControl {
     data_dir: PathBuf,
     addresses: Addresses,
@@ -65,28 +65,29 @@
     acceptors: Vec<Acceptor>,
 }
 
-/// Tells a running replica to stop.
+/// Handle that requests the stop of a running replica.
 #[derive(Clone)]
 pub struct Stopper {
     inbox: Inbox,
 }
 
 impl Stopper {
-    /// Tells the replica to stop; it finishes what it has taken in.
+    /// Requests the stop; the batch of messages being handled is finished first. Doesn't wait for the stop.
     pub fn stop(&self) {
         let _ = self.inbox.send(Message::Stop);
     }
 }
 
-/// Starts a replica with checked settings.
+/// Starts a replica with validated settings.
 ///
 /// # Errors
-/// An address can't be listened on, or the data folder can't be used.
+/// Listening on an address failed, the data directory can't be used or is damaged, or a thread can't be
+/// started.
 pub fn start(
     mut settings: ControlSettings,
     listeners: Listeners,
 ) -> Result<RunningControl, RunError> {
-    let disk = open_folder(&settings)?;
+    let disk = open_disk(&settings)?;
     let sockets = Sockets::bind(&mut settings, listeners)?;
     let (inbox, messages) = channel();
     let shared = Shared {
@@ -126,7 +127,7 @@
     })
 }
 
-/// What several threads use.
+/// State shared by the threads of a replica.
 struct Shared {
     inbox: Inbox,
     stop: StopFlag,
@@ -134,7 +135,7 @@
     gauges: Arc<NodeGauges>,
 }
 
-/// The sockets that a replica listens on.
+/// Listening sockets of a replica.
 struct Sockets {
     peer: TcpListener,
     router: TcpListener,
@@ -142,7 +143,7 @@
 }
 
 impl Sockets {
-    /// Listens, and puts the ports that the system chose into the settings.
+    /// Binds the sockets and stores the addresses actually bound in the settings.
     fn bind(settings: &mut ControlSettings, listeners: Listeners) -> Result<Self, RunError> {
         let sockets = Self {
             peer: bind("peer_address", settings.peer_address, listeners.peer)?,
@@ -164,14 +165,14 @@
         let sent_bytes = shared.gauges.metrics.sent_bytes.clone();
         let (inbox, stop) = (&shared.inbox, &shared.stop);
         Ok(vec![
-            peer_links::listen(self.peer, inbox.clone(), stop.clone())?,
-            router_links::listen(self.router, inbox.clone(), stop.clone(), sent_bytes)?,
+            peer_connections::listen(self.peer, inbox.clone(), stop.clone())?,
+            router_connections::listen(self.router, inbox.clone(), stop.clone(), sent_bytes)?,
             admin::listen(self.admin, context, stop.clone())?,
         ])
     }
 }
 
-fn open_folder(settings: &ControlSettings) -> Result<RealDisk, RunError> {
+fn open_disk(settings: &ControlSettings) -> Result<RealDisk, RunError> {
     RealDisk::new(&settings.data_dir).map_err(|source| RunError::Folder {
         path: settings.data_dir.clone(),
         source,
@@ -183,7 +184,7 @@
     disk: RealDisk,
     shared: &Shared,
 ) -> Result<ControlNode<TimedDisk>, RunError> {
-    let config = NodeConfig::from_settings(settings, fresh_replica(), rand::random());
+    let config = NodeConfig::from_settings(settings, random_replica_id(), rand::random());
     let disk = TimedDisk::new(disk, shared.gauges.metrics.sync_seconds.clone());
     let node = ControlNode::open(config, disk, shared.liveness.now());
     node.map_err(|error| RunError::node(settings.data_dir.clone(), error))
@@ -197,12 +198,12 @@
 ) -> ControlThread {
     let timing = &settings.timing;
     let metrics = &shared.gauges.metrics;
-    let heartbeat_timeout = timing.server_heartbeat * HEARTBEATS_TO_WAIT;
+    let heartbeat_timeout = timing.server_heartbeat * HEARTBEAT_TIMEOUT_INTERVALS;
     ControlThread {
         node,
         inbox,
-        peers: PeerLinks::new(timing.election_timeout, metrics.sent_bytes.clone()),
-        routers: RouterLinks::default(),
+        peers: PeerConnections::new(timing.election_timeout, metrics.sent_bytes.clone()),
+        routers: RouterConnections::default(),
         back_ends: BackEnds::new(
             heartbeat_timeout,
             timing.server_lease,
@@ -215,22 +216,22 @@
 }
 
 impl RunningControl {
-    /// Where the replica is reached.
+    /// Addresses that the replica listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// A handle that tells the replica to stop.
+    /// A handle to stop the replica from another thread.
     pub fn stopper(&self) -> Stopper {
         Stopper {
             inbox: self.inbox.clone(),
         }
     }
 
-    /// Waits until the replica stops, then ends its threads.
+    /// Waits until the replica stops, then closes its listeners and connections.
     ///
     /// # Errors
-    /// Why the replica could not go on.
+    /// The node failed or the control thread panicked.
     pub fn wait(self) -> Result<(), RunError> {
         let result = self.control.join();
         self.stop.set();
@@ -249,10 +250,10 @@
         }
     }
 
-    /// Tells the replica to stop and waits for it.
+    /// Stops the replica and waits until it has stopped.
     ///
     /// # Errors
-    /// Why the replica could not go on.
+    /// The node failed or the control thread panicked.
     pub fn stop(self) -> Result<(), RunError> {
         self.stopper().stop();
         self.wait()
@@ -279,7 +280,7 @@
     }
 }
 
-/// An identity that no folder ever had, but for a chance of one in 2^64 for each folder made.
-fn fresh_replica() -> ReplicaId {
+/// Random identity; the chance of a collision is 1 in 2^64 for each data directory ever created.
+fn random_replica_id() -> ReplicaId {
     ReplicaId(rand::random())
 }
--- a/crates/control/src/daemon/sockets.rs
+++ b/crates/control/src/daemon/sockets.rs
@@ -1,6 +1,6 @@
-//! Listening sockets and the connections accepted on them.
+//! Listening sockets and their accepted connections.
 //!
-//! Invariant: no listener holds more connections than its limit, and stopping closes them all.
+//! Invariant: a listener never has more open connections than its limit, and stopping it closes them all.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,30 +13,32 @@
 
 use super::message::StopFlag;
 
-/// Silence on a connection after which the system asks whether the other side is still there.
-const KEEPALIVE: Duration = Duration::from_secs(5);
+/// TCP keepalive: idle time before the first probe, and interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Wait after a failed accept, such as for want of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Wait of the stopping thread for its own connection, which wakes the listener.
+/// Timeout of the connection that the stopping thread opens to unblock `accept`.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Stack of a thread that moves bytes; there may be a few thousand.
+/// Stack size of an I/O thread; kept small, since there may be a few thousand of them.
 pub(super) const STACK_BYTES: usize = 512 << 10;
 
-/// Longest wait at a stop for connections that still answer, and the steps of that wait.
-const DRAIN_LIMIT: Duration = Duration::from_secs(1);
+/// Maximum time that a stop waits for connections to finish their responses.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Interval at which a stop checks for open connections.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
 
-/// Connections accepted and still open.
+/// Open connections of a listener.
 #[derive(Clone)]
 pub(super) struct Connections {
     open: Arc<Mutex<BTreeMap<u64, TcpStream>>>,
     limit: usize,
 }
 
-/// Forgets its connection when dropped.
+/// Removes its connection from [`Connections`] when dropped.
 pub(super) struct OpenConnection {
     connections: Connections,
     number: u64,
@@ -68,12 +70,12 @@
         })
     }
 
-    /// Ends the reading side at once, so that idle connections end, and the others once they have
-    /// answered or their time is up.
+    /// Shuts down the read sides, which ends idle connections, and waits up to [`DRAIN_TIMEOUT`] for
+    /// responses in progress before the remaining connections are closed.
     fn close_all(&self) {
         self.shut_down(Shutdown::Read);
         let started = Instant::now();
-        while !self.lock().is_empty() && started.elapsed() < DRAIN_LIMIT {
+        while !self.lock().is_empty() && started.elapsed() < DRAIN_TIMEOUT {
             thread::sleep(DRAIN_POLL);
         }
         self.shut_down(Shutdown::Both);
@@ -90,7 +92,7 @@
     }
 }
 
-/// A thread that accepts connections and gives each a thread of its own.
+/// A thread that accepts connections and starts a thread for each.
 pub(super) struct Acceptor {
     address: SocketAddr,
     connections: Connections,
@@ -98,7 +100,7 @@
 }
 
 impl Acceptor {
-    /// Starts accepting; `serve` runs on a thread of its own for each connection.
+    /// Starts to accept connections; `serve` runs on a separate thread for each.
     pub(super) fn start<F>(
         name: &'static str,
         listener: TcpListener,
@@ -122,7 +124,7 @@
         })
     }
 
-    /// Ends the listener and its connections; the stop flag must be set before.
+    /// Closes the listener and its connections. The stop flag must already be set.
     pub(super) fn stop(self) {
         let _ = TcpStream::connect_timeout(&self.address, WAKE_TIMEOUT);
         let _ = self.thread.join();
@@ -145,17 +147,17 @@
             return;
         }
         let Ok((stream, _)) = accepted else {
-            thread::sleep(ACCEPT_RETRY);
+            thread::sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
-        if prepare(&stream).is_err() {
+        if set_options(&stream).is_err() {
             continue;
         }
         let Some(open) = connections.admit(number, &stream) else {
             continue;
         };
         let serve = serve.clone();
-        // A connection without a thread is dropped, and the other side tries again.
+        // If no thread can be started, the connection is closed and the client retries.
         let _ = thread::Builder::new()
             .name(format!("{name}-{number}"))
             .stack_size(STACK_BYTES)
@@ -166,18 +168,19 @@
     }
 }
 
-/// Small frames leave at once, and a vanished peer is noticed.
-pub(super) fn prepare(stream: &TcpStream) -> io::Result<()> {
+/// Disables Nagle's algorithm, so that small frames are sent at once, and enables TCP keepalive, so that a
+/// lost peer is detected.
+pub(super) fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
 
-/// Gives up a connection once bytes stay unacknowledged for `limit`, so that a peer that was cut off
-/// silently is reached again as soon as the network heals.
-pub(super) fn limit_silence(stream: &TcpStream, limit: Duration) -> io::Result<()> {
-    stream.set_write_timeout(Some(limit))?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(limit))
+/// Fails a connection once sent bytes stay unacknowledged for `timeout`, so that after a silent network
+/// partition a new connection is opened as soon as the network works again.
+pub(super) fn set_ack_timeout(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
+    stream.set_write_timeout(Some(timeout))?;
+    SockRef::from(stream).set_tcp_user_timeout(Some(timeout))
 }
--- a/crates/control/src/daemon/timed_disk.rs
+++ b/crates/control/src/daemon/timed_disk.rs
@@ -1,11 +1,11 @@
-//! A folder whose syncs are timed.
+//! A disk whose syncs are measured.
 
 use std::time::Instant;
 
 use grebepin_storage::{Disk, DiskError, RealDisk, RealFile};
 use grebepin_telemetry::metrics::Histogram;
 
-/// A [`RealDisk`] that notes how long each sync of a file took.
+/// A [`RealDisk`] that records the duration of each file sync in a histogram.
 pub(super) struct TimedDisk {
     disk: RealDisk,
     seconds: Histogram,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,7 @@
-//! The control replica: pure node and its input/output shell.
+//! A control replica: deterministic node state machine and the daemon that runs it.
 //!
-//! [`ControlNode`] decides; the daemon round it moves bytes and keeps the time.
+//! [`ControlNode`] makes all decisions and performs no I/O; the daemon around it does the socket and disk I/O
+//! and supplies the time.
 
 mod daemon;
 mod node;
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -8,7 +8,7 @@
 
 /// One replica of a control group: accepts bundles, decides owners, grants leases.
 ///
-/// Exit codes: 0 stopped as told, 1 failure, 2 settings refused, 3 data folder damaged.
+/// Exit codes: 0 stopped on request, 1 failure, 2 settings refused, 3 data folder damaged.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
--- a/crates/control/src/node/admin.rs
+++ b/crates/control/src/node/admin.rs
@@ -1,7 +1,7 @@
-//! Requests of operators.
+//! Admin requests from operators.
 //!
-//! Invariant: a change is answered only after it is committed and applied, or refused with a type that
-//! says whether it may have taken effect.
+//! Invariant: a change is acknowledged only after it is committed and applied; otherwise it is answered with
+//! an error kind that tells whether it may have taken effect.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 
 use super::error::NodeError;
 use super::input::{AdminRequest, ReplyId};
-use super::leadership::{api_error, internal};
+use super::leadership::{api_error, internal_error};
 use super::output::{AdminAnswer, NodeOutput, Notice};
 use super::waiting::{EntryWaiter, ReadWaiter};
 use super::ControlNode;
 
 impl<D: Disk> ControlNode<D> {
-    pub(super) fn take_in_admin(
+    pub(super) fn handle_admin(
         &mut self,
         now: Duration,
         reply: ReplyId,
@@ -39,11 +39,11 @@
                 return Ok(());
             }
             AdminRequest::Bundle => {
-                self.read_for(now, reply, ReadWaiter::Bundle(reply));
+                self.request_read_for(now, reply, ReadWaiter::Bundle(reply));
                 return Ok(());
             }
             AdminRequest::Table => {
-                self.read_for(now, reply, ReadWaiter::Table(reply));
+                self.request_read_for(now, reply, ReadWaiter::Table(reply));
                 return Ok(());
             }
             AdminRequest::Drain(request) => {
@@ -63,11 +63,12 @@
         self.outputs.push(NodeOutput::AdminReply { reply, result });
     }
 
-    /// Why this replica can't take a change now, though it may lead.
-    pub(super) fn no_leadership(&mut self) -> ApiError {
+    /// Error for a change sent to a replica that has no active leadership. A replica that leads but hasn't
+    /// started its coordinator yet doesn't name itself as the leader.
+    pub(super) fn no_leadership_error(&mut self) -> ApiError {
         let leader = self.consensus.leader();
         let leader = leader.filter(|leader| *leader != self.replica);
-        self.refusal(grebepin_consensus::ProposeError::NotLeader { leader })
+        self.propose_error(grebepin_consensus::ProposeError::NotLeader { leader })
     }
 
     fn submit_bundle(&mut self, now: Duration, reply: ReplyId, signed: SignedBundle) {
@@ -80,7 +81,7 @@
     fn check_bundle(&self, signed: &SignedBundle) -> Result<Command, ApiError> {
         let trusted = &self.config.operators;
         let required = self.config.required_signatures;
-        let digest = grebepin_bundle::verify(signed, trusted, required).map_err(sign_off_error)?;
+        let digest = grebepin_bundle::verify(signed, trusted, required).map_err(signature_error)?;
         grebepin_bundle::check(&signed.bundle).map_err(|findings| {
             let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
             api_error(ApiErrorKind::InvalidBundle, lines.join("; "))
@@ -91,11 +92,11 @@
         }))
     }
 
-    fn read_for(&mut self, now: Duration, reply: ReplyId, waiter: ReadWaiter) {
+    fn request_read_for(&mut self, now: Duration, reply: ReplyId, waiter: ReadWaiter) {
         match self.consensus.request_read(now) {
             Ok(read) => self.waiting.add_read(read, waiter),
             Err(error) => {
-                let error = self.refusal(error);
+                let error = self.propose_error(error);
                 self.reply(reply, Err(error));
             }
         }
@@ -114,7 +115,7 @@
         self.propose_for(now, &command, EntryWaiter::Drain(reply));
     }
 
-    /// Answers the reads that are confirmed and whose index is applied.
+    /// Answers the confirmed reads whose index is applied.
     pub(super) fn answer_reads(&mut self) {
         for waiter in self.waiting.take_reads(self.applied) {
             match waiter {
@@ -125,14 +126,14 @@
                 }
                 ReadWaiter::Bundle(reply) => {
                     let answer = self.state.bundle().cloned().map(Box::new);
-                    let answer = answer.map(AdminAnswer::Bundle).ok_or_else(no_bundle);
+                    let answer = answer.map(AdminAnswer::Bundle).ok_or_else(no_bundle_error);
                     self.reply(reply, answer);
                 }
             }
         }
     }
 
-    /// Answers the operator who asked for a command, once it is applied.
+    /// Answers the operator whose command was applied.
     pub(super) fn answer_applied(
         &mut self,
         waiter: Option<EntryWaiter>,
@@ -146,12 +147,12 @@
             }
         }
         if let Some(waiter) = waiter {
-            self.reply(waiter.reply(), answer(index, &applied.outcome));
+            self.reply(waiter.reply(), admin_answer(index, &applied.outcome));
         }
     }
 }
 
-fn answer(index: LogIndex, outcome: &Outcome) -> Result<AdminAnswer, ApiError> {
+fn admin_answer(index: LogIndex, outcome: &Outcome) -> Result<AdminAnswer, ApiError> {
     match outcome {
         Outcome::Bundle(BundleOutcome::Accepted { record, repeated }) => {
             Ok(AdminAnswer::Rolled(RollAnswer {
@@ -161,7 +162,7 @@
                 version: record.version,
             }))
         }
-        Outcome::Bundle(BundleOutcome::Refused(refusal)) => Err(bundle_refusal(refusal)),
+        Outcome::Bundle(BundleOutcome::Refused(refusal)) => Err(bundle_refusal_error(refusal)),
         Outcome::Standing(StandingOutcome::Set { shards, .. }) => {
             Ok(AdminAnswer::Drained(DrainServerAnswer {
                 index,
@@ -172,13 +173,13 @@
             let message = format!("no server {} in the bundle in force", server.as_str());
             Err(api_error(ApiErrorKind::UnknownServer, message))
         }
-        Outcome::Assigned(_) | Outcome::Boot(_) => {
-            Err(internal("an operator's command became another".to_owned()))
-        }
+        Outcome::Assigned(_) | Outcome::Boot(_) => Err(internal_error(
+            "an operator's command became another".to_owned(),
+        )),
     }
 }
 
-fn sign_off_error(error: VerifyError) -> ApiError {
+fn signature_error(error: VerifyError) -> ApiError {
     let kind = match &error {
         VerifyError::TooFewSignatures { .. } => ApiErrorKind::TooFewSignatures,
         VerifyError::BadSignature { .. } | VerifyError::InvalidPublicKey { .. } => {
@@ -188,7 +189,7 @@
     api_error(kind, error.to_string())
 }
 
-fn bundle_refusal(refusal: &BundleRefusal) -> ApiError {
+fn bundle_refusal_error(refusal: &BundleRefusal) -> ApiError {
     let (kind, accepted): (ApiErrorKind, Option<&BundleRecord>) = match refusal {
         BundleRefusal::VersionConflict { accepted } => {
             (ApiErrorKind::VersionConflict, Some(accepted))
@@ -208,7 +209,7 @@
     }
 }
 
-fn no_bundle() -> ApiError {
+fn no_bundle_error() -> ApiError {
     let message = "no bundle is in force yet; roll the first one with `grebepin bundle roll`";
     api_error(ApiErrorKind::NotFound, message.to_owned())
 }
--- a/crates/control/src/node/calls.rs
+++ b/crates/control/src/node/calls.rs
@@ -1,7 +1,7 @@
-//! Calls to back ends that are under way.
+//! Calls to back ends in flight.
 //!
-//! Invariant: an answer reaches the coordinator that asked, or none; an answer to a call of an earlier
-//! leadership is dropped.
+//! Invariant: an answer is passed only to the coordinator that made the call; answers to calls of an earlier
+//! leadership are dropped.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::output::{BackEndRequest, NodeOutput};
 use super::ControlNode;
 
-/// What a call asked for.
+/// Operation of a call, to match it with its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallKind {
     Heartbeat,
@@ -36,7 +36,7 @@
     }
 }
 
-/// One call under way.
+/// One call in flight.
 #[derive(Clone, Debug)]
 struct Call {
     kind: CallKind,
@@ -44,24 +44,24 @@
     sent_at: Duration,
 }
 
-/// Calls under way.
+/// Calls in flight.
 #[derive(Debug, Default)]
 pub(super) struct Calls {
-    next: u64,
-    open: BTreeMap<CallId, Call>,
+    next_id: u64,
+    in_flight: BTreeMap<CallId, Call>,
 }
 
 impl Calls {
     fn begin(&mut self, call: Call) -> CallId {
-        let id = CallId(self.next);
-        self.next += 1;
-        self.open.insert(id, call);
+        let id = CallId(self.next_id);
+        self.next_id += 1;
+        self.in_flight.insert(id, call);
         id
     }
 
-    /// Forgets every call, so that late answers are dropped.
-    pub(super) fn forget(&mut self) {
-        self.open.clear();
+    /// Discards every call, so that late answers are dropped.
+    pub(super) fn clear(&mut self) {
+        self.in_flight.clear();
     }
 }
 
@@ -86,13 +86,13 @@
         });
     }
 
-    pub(super) fn take_in_call(
+    pub(super) fn handle_call(
         &mut self,
         now: Duration,
         call: CallId,
         answer: Result<BackEndAnswer, CallFailure>,
     ) {
-        let Some(call) = self.calls.open.remove(&call) else {
+        let Some(call) = self.calls.in_flight.remove(&call) else {
             return;
         };
         if answer.is_err() {
@@ -102,7 +102,7 @@
     }
 }
 
-/// What an ended call means to the coordinator. An answer of another kind counts as none.
+/// Coordinator input for a finished call. An answer to another operation counts as a failure.
 fn coordinator_input(call: Call, answer: Option<BackEndAnswer>) -> CoordinatorInput<'static> {
     let Call {
         kind,
--- a/crates/control/src/node/error.rs
+++ b/crates/control/src/node/error.rs
@@ -1,33 +1,33 @@
-//! Why a control node can't start or go on.
+//! Errors that stop a control node.
 
 use grebepin_schema::GroupId;
 use grebepin_storage::StorageError;
 
-/// Why a control node can't start or go on.
+/// Error that prevents a control node from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The data folder is damaged, can't be read, or took no write.
+    /// The data directory is damaged, or reading or writing it failed.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The data folder belongs to another group.
+    /// The data directory belongs to another group.
     #[error("the data folder belongs to group {found}, the settings say group {expected}")]
     WrongGroup {
-        /// Group of the folder.
+        /// Group recorded in the data directory.
         found: GroupId,
-        /// Group of the settings.
+        /// Group in the settings.
         expected: GroupId,
     },
-    /// A snapshot that was stored or received whole is no ownership state.
+    /// A complete snapshot, stored or received, doesn't decode to an ownership state.
     #[error("the snapshot does not hold an ownership state: {0}")]
     Snapshot(String),
-    /// A committed command doesn't decode, so this program is older than the one that wrote it.
+    /// A committed command doesn't decode: it was written by a newer program version.
     #[error("a committed command does not decode; run the program version that wrote it: {0}")]
     Command(#[from] grebepin_schema::framing::FrameError),
 }
 
 impl NodeError {
-    /// Whether the folder lost or changed bytes that had been synced: it must be moved away, and the
-    /// replica must join anew under another identity.
+    /// Whether synced bytes were lost or changed. The data directory must then be moved away, and the replica
+    /// must join the group again under a new identity.
     pub fn is_damage(&self) -> bool {
         matches!(
             self,
--- a/crates/control/src/node/founding.rs
+++ b/crates/control/src/node/founding.rs
@@ -1,8 +1,8 @@
-//! Founding a group: explicit, once, and safe to send again.
+//! Founding (bootstrap) of a group: explicit, done once, and idempotent.
 //!
-//! Invariant: a founding names this replica and all its configured peers, so that no two foundings of a
-//! group can be disjoint; and a replica is founded only under the identity of its own folder, and never when it holds
-//! a copy of any log; so a replica that lost its folder can't be founded a second time.
+//! Invariant: a founding request lists this replica and all its configured peers, so that no two foundings of
+//! a group can be disjoint. A replica is founded only under the identity in its data directory, and never
+//! when it holds a copy of any log, so a replica that lost its data can't be founded a second time.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use super::output::Notice;
 use super::ControlNode;
 
-/// Where the founding membership stands in every founder's log.
+/// Log index of the founding membership, equal on all founding replicas.
 const FOUNDING_INDEX: LogIndex = LogIndex(1);
 
 impl<D: Disk> ControlNode<D> {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Founds the group here, or finds that this very founding was done before.
+    /// Founds the group on this replica; succeeds without a change if the same founding was done before.
     pub(super) fn found(
         &mut self,
         now: Duration,
@@ -45,7 +45,7 @@
             return Ok(Err(error));
         }
         if !self.is_founded() {
-            self.found_here(now, request)?;
+            self.initialize_group(now, request)?;
         }
         Ok(Ok(self.identity()))
     }
@@ -74,7 +74,7 @@
             return Err(api_error(ApiErrorKind::BadRequest, message));
         }
         self.check_peers_listed(members)?;
-        self.check_cluster(request)
+        self.check_not_in_other_cluster(request)
     }
 
     fn check_peers_listed(&self, members: &[Member]) -> Result<(), ApiError> {
@@ -96,12 +96,12 @@
         Err(api_error(ApiErrorKind::BadRequest, message))
     }
 
-    fn check_cluster(&self, request: &FoundRequest) -> Result<(), ApiError> {
+    fn check_not_in_other_cluster(&self, request: &FoundRequest) -> Result<(), ApiError> {
         let same = match &self.storage.identity().cluster {
             Some(cluster) => *cluster == request.cluster,
-            // A leader founded elsewhere may have sent its log first; this identity can be known to
-            // both only if it is the same founding.
-            None => !self.has_copy() || self.member(self.replica).is_some(),
+            // A leader that was founded first may already have replicated its log to this replica. That
+            // membership contains this replica's identity only if it comes from the same founding.
+            None => !self.has_log() || self.member(self.replica).is_some(),
         };
         match same {
             true => Ok(()),
@@ -112,7 +112,7 @@
         }
     }
 
-    fn found_here(&mut self, now: Duration, request: FoundRequest) -> Result<(), NodeError> {
+    fn initialize_group(&mut self, now: Duration, request: FoundRequest) -> Result<(), NodeError> {
         let meta = SnapshotMeta {
             index: FOUNDING_INDEX,
             term: Term(0),
--- a/crates/control/src/node/input.rs
+++ b/crates/control/src/node/input.rs
@@ -1,94 +1,94 @@
-//! What may happen to a control node.
+//! Inputs of a control node.
 //!
-//! Invariant: an input holds no clock time, socket or thread; whoever drives the node adds the time.
+//! Invariant: an input holds no clock time, socket or thread; the caller of the node supplies the time.
 
 use grebepin_schema::{
     DrainServerRequest, FoundRequest, GrantAnswer, HeartbeatAnswer, HoldingsAnswer, MachineList,
     PeerFrame, ReleaseAnswer, RemoveMemberRequest, RouterFrame, SignedBundle,
 };
 
-/// Number of one call to a back end, unique within a run of the node.
+/// Identifies a call to a back end; unique within a run of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Number of one router's connection, unique within a run of the node.
+/// Identifies a router's connection; unique within a run of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Number of one admin request, unique within a run of the node.
+/// Identifies an admin request; unique within a run of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplyId(pub u64);
 
-/// One thing that happened.
+/// One input of a control node.
 #[derive(Clone, Debug)]
 pub enum NodeInput {
-    /// Time passed.
+    /// The clock advanced; nothing else happened.
     Tick,
-    /// A frame came from another replica.
+    /// A frame from another replica was received.
     Peer(PeerFrame),
-    /// A call to a back end ended.
+    /// A call to a back end finished.
     BackEnd {
         /// The call.
         call: CallId,
-        /// Its answer, or why there is none.
+        /// Its answer, or the reason that there is none.
         answer: Result<BackEndAnswer, CallFailure>,
     },
-    /// A frame came from a router.
+    /// A frame from a router was received.
     Router {
-        /// Connection it came on.
+        /// Connection that it was received on.
         connection: ConnectionId,
         /// The frame.
         frame: RouterFrame,
     },
-    /// A router's connection ended.
+    /// A router's connection was closed.
     RouterClosed {
         /// The connection.
         connection: ConnectionId,
     },
-    /// An operator asks.
+    /// An admin request was received.
     Admin {
-        /// Names the reply.
+        /// Identifies the reply.
         reply: ReplyId,
         /// The request.
         request: AdminRequest,
     },
-    /// The platform's list of machines was read.
+    /// The platform's machine list was fetched.
     Machines(MachineList),
 }
 
-/// Answer of a back end to a call.
+/// Answer of a back end, by operation.
 #[derive(Clone, Debug)]
 pub enum BackEndAnswer {
-    /// To a heartbeat.
+    /// Answer to a heartbeat.
     Heartbeat(HeartbeatAnswer),
-    /// To grants.
+    /// Answer to a grant request.
     Grant(GrantAnswer),
-    /// To releases.
+    /// Answer to a release request.
     Release(ReleaseAnswer),
-    /// To the question what it holds.
+    /// The shards that the back end holds.
     Holdings(HoldingsAnswer),
-    /// To a drain.
+    /// The drain request was accepted; it has no body.
     Drain,
 }
 
-/// Why a call to a back end has no answer; the call may have taken effect.
+/// Reason that a call to a back end failed. Except for [`CallFailure::Busy`], the call may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallFailure {
-    /// No connection.
+    /// The connection failed.
     #[error("no connection to the back end")]
     Unreachable,
-    /// No answer in time.
+    /// No answer arrived before the timeout.
     #[error("no answer in time")]
     TimedOut,
-    /// An answer that is none of the contract.
+    /// The answer doesn't conform to the back-end API.
     #[error("the answer does not follow the contract")]
     BadAnswer,
-    /// Too many calls wait for this back end; this one was never sent.
+    /// The back end's call queue is full; this call was never sent.
     #[error("too many calls wait for this back end")]
     Busy,
 }
 
-/// A request on the admin address.
+/// A request to the admin interface.
 #[derive(Clone, Debug)]
 pub enum AdminRequest {
     /// `POST /v1/found`.
@@ -101,7 +101,7 @@
     Bundle,
     /// `GET /v1/table`, a linearizable read.
     Table,
-    /// `GET /v1/status`, as this replica sees it.
+    /// `GET /v1/status`, answered from this replica's local state.
     Status,
     /// `POST /v1/drain`.
     Drain(DrainServerRequest),
--- a/crates/control/src/node/joining.rs
+++ b/crates/control/src/node/joining.rs
@@ -1,6 +1,7 @@
-//! A replica with an empty folder asks the group to take it in.
+//! Join requests of a replica that starts with an empty data directory.
 //!
-//! Invariant: only a replica that never had a copy of the log asks; one that was removed stays out.
+//! Invariant: only a replica that never had a copy of the log sends join requests; a removed replica doesn't
+//! rejoin.
 
 use std::time::Duration;
 
@@ -11,19 +12,20 @@
 use super::output::Notice;
 use super::ControlNode;
 
-/// How often a replica follows redirections within its interval, so that two others that name each
-/// other as the leader don't make it spin.
+/// Maximum number of redirects followed per retry interval, so that two replicas that redirect to each other
+/// don't cause a busy loop.
 const REDIRECTS_PER_INTERVAL: u32 = 10;
 
-/// Where and when to ask next.
+/// State of the join retries.
 #[derive(Debug)]
 pub(super) struct Joining {
     active: bool,
-    next_at: Duration,
+    retry_at: Duration,
     interval: Duration,
     /// Index into the configured peers of the next one to ask.
     next_peer: usize,
-    hint: Option<SocketAddress>,
+    leader_hint: Option<SocketAddress>,
+    /// Whether the first answer was logged; later ones aren't.
     announced: bool,
 }
 
@@ -31,21 +33,21 @@
     pub(super) fn new(config: &NodeConfig) -> Self {
         Self {
             active: !config.peers.is_empty(),
-            next_at: Duration::ZERO,
+            retry_at: Duration::ZERO,
             interval: config.timing.election_timeout,
             next_peer: 0,
-            hint: None,
+            leader_hint: None,
             announced: false,
         }
     }
 
     pub(super) fn next_wake(&self) -> Option<Duration> {
-        self.active.then_some(self.next_at)
+        self.active.then_some(self.retry_at)
     }
 
     fn next_address(&mut self, peers: &[SocketAddress]) -> Option<SocketAddress> {
-        if let Some(hint) = self.hint.take() {
-            return Some(hint);
+        if let Some(leader_hint) = self.leader_hint.take() {
+            return Some(leader_hint);
         }
         let address = peers.get(self.next_peer % peers.len().max(1)).cloned();
         self.next_peer = self.next_peer.wrapping_add(1);
@@ -54,15 +56,15 @@
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// Asks again when it is time, until this replica has a copy of the group's log.
-    pub(super) fn keep_joining(&mut self, now: Duration) {
+    /// Sends the next join request when it is due, until this replica has a copy of the group's log.
+    pub(super) fn retry_join(&mut self, now: Duration) {
         if self.is_founded() {
             self.joining.active = false;
         }
-        if !self.joining.active || now < self.joining.next_at {
+        if !self.joining.active || now < self.joining.retry_at {
             return;
         }
-        self.joining.next_at = now + self.joining.interval;
+        self.joining.retry_at = now + self.joining.interval;
         let Some(address) = self.joining.next_address(&self.config.peers) else {
             return;
         };
@@ -73,25 +75,25 @@
         self.send_frame(address, PeerFrame::JoinRequest(request));
     }
 
-    pub(super) fn take_in_join_response(&mut self, now: Duration, response: JoinResponse) {
+    pub(super) fn handle_join_response(&mut self, now: Duration, response: JoinResponse) {
         if !self.joining.active {
             return;
         }
         match response {
             JoinResponse::NotFounded => {}
             JoinResponse::TryLeader(address) => {
-                self.joining.hint = Some(address);
-                self.joining.next_at = now + self.joining.interval / REDIRECTS_PER_INTERVAL;
+                self.joining.leader_hint = Some(address);
+                self.joining.retry_at = now + self.joining.interval / REDIRECTS_PER_INTERVAL;
             }
             JoinResponse::Joining => {
                 let replica = self.replica;
-                self.announce(Notice::Joining { replica });
+                self.notice_once(Notice::Joining { replica });
             }
-            JoinResponse::Refused(reason) => self.announce(Notice::JoinRefused { reason }),
+            JoinResponse::Refused(reason) => self.notice_once(Notice::JoinRefused { reason }),
         }
     }
 
-    fn announce(&mut self, notice: Notice) {
+    fn notice_once(&mut self, notice: Notice) {
         if !std::mem::replace(&mut self.joining.announced, true) {
             self.notice(notice);
         }
--- a/crates/control/src/node/leadership.rs
+++ b/crates/control/src/node/leadership.rs
@@ -1,7 +1,8 @@
-//! The leader's coordinator: from the moment everything committed is applied until leadership is lost.
+//! Lifecycle of the leader's coordinator, which runs from the time that all committed entries are applied
+//! until leadership is lost.
 //!
-//! Invariant: a coordinator lives for one term and sees the state only with every entry that was
-//! committed before that term applied.
+//! Invariant: a coordinator exists for one term, and reads the state only once every entry committed before
+//! that term is applied.
 
 use std::time::Duration;
 
@@ -19,7 +20,7 @@
 use super::waiting::{EntryWaiter, ReadWaiter};
 use super::ControlNode;
 
-/// One unbroken time as the leader.
+/// The coordinator of one term as leader.
 pub(super) struct Leadership {
     term: Term,
     coordinator: Coordinator,
@@ -36,8 +37,8 @@
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// Starts and ticks the coordinator.
-    pub(super) fn follow_leadership(&mut self, now: Duration) {
+    /// Starts, ticks or stops the coordinator according to the consensus state.
+    pub(super) fn update_leadership(&mut self, now: Duration) {
         let term = self.consensus.term();
         let stale = |leadership: &Leadership| leadership.term != term;
         if self.leadership.as_ref().is_some_and(stale) {
@@ -66,28 +67,28 @@
         self.notice(Notice::BecameLeader { term });
     }
 
-    /// Ends the coordinator's time and answers everyone who waits for this leader.
+    /// Stops the coordinator, fails all waiting requests with `lost-leadership` and redirects the routers.
     pub(super) fn end_leadership(&mut self) {
         if self.leadership.take().is_some() {
             let term = self.consensus.term();
             self.notice(Notice::LostLeadership { term });
         }
-        self.calls.forget();
+        self.calls.clear();
         let (entries, reads) = self.waiting.take_all();
         for waiter in entries {
             let reply = waiter.reply();
-            self.reply(reply, Err(lost_leadership()));
+            self.reply(reply, Err(lost_leadership_error()));
         }
         for waiter in reads {
-            // Routers are sent on below, all at once.
+            // Waiting routers are redirected below, together with the other followers.
             if let ReadWaiter::Bundle(reply) | ReadWaiter::Table(reply) = waiter {
-                self.reply(reply, Err(lost_leadership()));
+                self.reply(reply, Err(lost_leadership_error()));
             }
         }
         self.redirect_routers();
     }
 
-    /// Hands the coordinator an input and carries out what it says.
+    /// Passes an input to the coordinator and executes its outputs; ignored without leadership.
     pub(super) fn coordinate(&mut self, now: Duration, input: CoordinatorInput<'_>) {
         let lease_until = self.consensus.leader_lease_until().unwrap_or_default();
         let Some(leadership) = &mut self.leadership else {
@@ -97,7 +98,7 @@
             .coordinator
             .handle(now, &self.state, lease_until, input);
         for output in outputs {
-            self.carry_out(now, output);
+            self.execute(now, output);
         }
     }
 
@@ -105,11 +106,11 @@
         self.coordinate(now, CoordinatorInput::Applied(applied));
     }
 
-    pub(super) fn take_in_machines(&mut self, now: Duration, machines: MachineList) {
+    pub(super) fn handle_machines(&mut self, now: Duration, machines: MachineList) {
         self.coordinate(now, CoordinatorInput::Machines(&machines));
     }
 
-    fn carry_out(&mut self, now: Duration, output: CoordinatorOutput) {
+    fn execute(&mut self, now: Duration, output: CoordinatorOutput) {
         match output {
             CoordinatorOutput::Heartbeat {
                 server,
@@ -149,14 +150,14 @@
         now: Duration,
         command: &Command,
     ) -> Result<(Term, LogIndex), ApiError> {
-        let bytes = encode(command).map_err(|error| internal(error.to_string()))?;
+        let bytes = encode(command).map_err(|error| internal_error(error.to_string()))?;
         self.metrics.proposals += 1;
         self.consensus
             .propose(now, bytes)
-            .map_err(|error| self.refusal(error))
+            .map_err(|error| self.propose_error(error))
     }
 
-    /// Proposes a command for an operator, who is answered once it is applied.
+    /// Proposes an operator's command; the operator is answered once it is applied.
     pub(super) fn propose_for(&mut self, now: Duration, command: &Command, waiter: EntryWaiter) {
         match self.propose(now, command) {
             Ok((term, index)) => self.waiting.add_entry(term, index, waiter),
@@ -164,20 +165,20 @@
         }
     }
 
-    pub(super) fn refusal(&self, error: ProposeError) -> ApiError {
+    pub(super) fn propose_error(&self, error: ProposeError) -> ApiError {
         match error {
-            ProposeError::NotLeader { leader } => self.not_leader(leader),
+            ProposeError::NotLeader { leader } => self.not_leader_error(leader),
             ProposeError::MembershipBusy | ProposeError::InvalidMembership(_) => {
                 api_error(ApiErrorKind::MembershipBusy, error.to_string())
             }
             ProposeError::CommandTooLarge { .. } => {
                 api_error(ApiErrorKind::TooLarge, error.to_string())
             }
-            ProposeError::Overloaded { .. } => internal(error.to_string()),
+            ProposeError::Overloaded { .. } => internal_error(error.to_string()),
         }
     }
 
-    fn not_leader(&self, leader: Option<ReplicaId>) -> ApiError {
+    fn not_leader_error(&self, leader: Option<ReplicaId>) -> ApiError {
         if !self.is_founded() {
             let message = "no group is founded here; run `grebepin found`";
             return api_error(ApiErrorKind::NotFounded, message.to_owned());
@@ -207,7 +208,7 @@
     }
 }
 
-/// An error without details.
+/// An error without the optional fields.
 pub(crate) fn api_error(kind: ApiErrorKind, message: String) -> ApiError {
     ApiError {
         kind,
@@ -218,11 +219,11 @@
     }
 }
 
-pub(super) fn internal(message: String) -> ApiError {
+pub(super) fn internal_error(message: String) -> ApiError {
     api_error(ApiErrorKind::Internal, message)
 }
 
-fn lost_leadership() -> ApiError {
+fn lost_leadership_error() -> ApiError {
     let message =
         "the replica lost leadership before the outcome was known; send the same request \
                    again to the new leader";
--- a/crates/control/src/node/members.rs
+++ b/crates/control/src/node/members.rs
@@ -1,8 +1,8 @@
-//! Members that come and go: learners join, are promoted when caught up, and replace the member whose
-//! address they took over.
+//! Membership changes: learners join, are promoted to voters once caught up, and replace a failed voter at
+//! the same peer address.
 //!
-//! Invariant: one change at a time, each committed before the next; a voter is removed only while the
-//! voters heard from are a majority without it, and by itself only when it is silent.
+//! Invariant: one change at a time, each committed before the next. A voter is removed only while the
+//! remaining voters that are alive form a majority, and is replaced automatically only when it has failed.
 
 use std::time::Duration;
 
@@ -19,18 +19,18 @@
 use super::waiting::EntryWaiter;
 use super::ControlNode;
 
-/// Most members of one group, voters and learners.
+/// Maximum number of members of a group, voters and learners together.
 const MAXIMUM_MEMBERS: usize = 15;
 
 impl<D: Disk> ControlNode<D> {
-    pub(super) fn take_in_join(&mut self, now: Duration, request: JoinRequest) {
+    pub(super) fn handle_join(&mut self, now: Duration, request: JoinRequest) {
         let address = request.member.peer_address.clone();
         if let Some(response) = self.join(now, request) {
             self.send_frame(address, PeerFrame::JoinResponse(response));
         }
     }
 
-    /// Answer to a join request; none while no leader is known.
+    /// Answer to a join request; none while no leader is known, so that the replica retries.
     fn join(&mut self, now: Duration, request: JoinRequest) -> Option<JoinResponse> {
         if request.group != self.config.group {
             let text = format!("this is group {}", self.config.group);
@@ -53,27 +53,27 @@
                 let text = format!("the group has {MAXIMUM_MEMBERS} members already");
                 return Some(JoinResponse::Refused(text));
             }
-            self.admit(now, request.member);
+            self.add_learner(now, request.member);
         }
         Some(JoinResponse::Joining)
     }
 
-    /// Adds a learner.
-    fn admit(&mut self, now: Duration, member: Member) {
+    fn add_learner(&mut self, now: Duration, member: Member) {
         let next = members::admitting(self.consensus.membership(), member);
-        // A refused change is made again when the replica asks again.
+        // A rejected change is proposed again with the replica's next join request.
         let _ = self.consensus.propose_membership(now, next);
     }
 
-    /// Moves one learner on: first the voter at its address goes, then the learner becomes a voter.
-    pub(super) fn keep_members(&mut self, now: Duration) {
+    /// Proposes the next change for a learner that has caught up: first the failed voter at its address is
+    /// removed, then the learner is promoted.
+    pub(super) fn update_membership(&mut self, now: Duration) {
         if self.leadership.is_none() {
             return;
         }
         let Some(next) = self.next_membership(now) else {
             return;
         };
-        // A refused change is made again at the next look.
+        // A rejected change is proposed again on the next call.
         let _ = self.consensus.propose_membership(now, next);
     }
 
@@ -88,11 +88,11 @@
         Some(members::promoting(membership, learner.replica))
     }
 
-    /// Whether the voters heard from lately are a majority of those that remain.
+    /// Whether the alive voters form a majority of the voters that remain without `removed`.
     fn keeps_quorum_without(&self, now: Duration, removed: ReplicaId) -> bool {
         let alive = self.alive_members(now);
-        let is_heard = |replica: ReplicaId| alive.contains(&replica);
-        members::keeps_quorum_without(self.consensus.membership(), removed, is_heard)
+        let is_alive = |replica: ReplicaId| alive.contains(&replica);
+        members::keeps_quorum_without(self.consensus.membership(), removed, is_alive)
     }
 
     pub(super) fn remove_member(
@@ -103,7 +103,7 @@
     ) {
         let replica = request.replica;
         if self.leadership.is_none() {
-            let error = self.no_leadership();
+            let error = self.no_leadership_error();
             return self.reply(reply, Err(error));
         }
         let Some(member) = self.member(replica) else {
@@ -123,7 +123,7 @@
                 self.waiting.add_entry(term, index, waiter);
             }
             Err(error) => {
-                let error = self.refusal(error);
+                let error = self.propose_error(error);
                 self.reply(reply, Err(error));
             }
         }
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! The control node: consensus, storage and the ownership state machine as one pure value.
+//! The control node: consensus, storage and the ownership state machine, composed without clock or network
+//! I/O.
 //!
-//! Invariant: an output leaves [`ControlNode::handle`] only after everything it rests on is synced,
-//! and the state that answers an operator or a router is made of committed entries only.
+//! Invariant: [`ControlNode::handle`] returns an output only after everything that it depends on is synced,
+//! and operators and routers are answered from committed entries only.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -40,7 +41,7 @@
 use routers::Routers;
 use waiting::Waiting;
 
-/// One replica of a control group, without clock, sockets or threads.
+/// One replica of a control group. It is driven by inputs and has no clock, sockets or threads of its own.
 pub struct ControlNode<D: Disk> {
     config: NodeConfig,
     replica: ReplicaId,
@@ -48,7 +49,7 @@
     consensus: Consensus,
     state: OwnershipState,
     applied: LogIndex,
-    /// Term and vote last made durable.
+    /// Tracks the hard state that was last made durable.
     log_writer: LogWriter,
     leadership: Option<Leadership>,
     waiting: Waiting,
@@ -61,43 +62,43 @@
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// Opens the node on its disk; an empty folder takes the fresh identity of the configuration.
+    /// Opens the node on its disk; an empty data directory gets the configuration's `fresh_replica` identity.
     ///
     /// # Errors
-    /// The folder is damaged, can't be read or written, or belongs to another group.
+    /// The data directory is damaged, can't be read or written, or belongs to another group.
     pub fn open(config: NodeConfig, disk: D, now: Duration) -> Result<Self, NodeError> {
         startup::open(config, disk, now)
     }
 
-    /// Identity of this replica's folder.
+    /// Identity of this replica, stored in its data directory.
     pub fn replica(&self) -> ReplicaId {
         self.replica
     }
 
-    /// Consensus state, for reports and checks.
+    /// Consensus state, for status reports and invariant checks.
     pub fn consensus(&self) -> &Consensus {
         &self.consensus
     }
 
-    /// The applied state, for reports and checks.
+    /// The applied ownership state, for status reports and invariant checks.
     pub fn state(&self) -> &OwnershipState {
         &self.state
     }
 
-    /// Whether this replica leads and serves.
+    /// Whether this replica is the leader and its coordinator runs.
     pub fn is_serving(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// Gives the disk back, to be opened anew.
+    /// Returns the disk, so that a node can be opened on it again.
     pub fn into_disk(self) -> D {
         self.storage.into_disk()
     }
 
-    /// Handles a batch of inputs, and says what to do next.
+    /// Handles a batch of inputs and returns the outputs to execute, in order.
     ///
-    /// All that the inputs make durable is synced together; what follows from it, such as the
-    /// coordinator's next commands, takes one more sync.
+    /// Writes caused by the batch share one sync; writes that follow from them, such as the coordinator's
+    /// next commands, need another. After [`NodeOutput::Failed`] every later input is ignored.
     pub fn handle(&mut self, now: Duration, inputs: Vec<NodeInput>) -> Vec<NodeOutput> {
         if self.failed {
             return Vec::new();
@@ -105,7 +106,7 @@
         self.consensus.tick(now);
         let mut result = Ok(());
         for input in inputs {
-            result = result.and_then(|()| self.take_in(now, input));
+            result = result.and_then(|()| self.handle_input(now, input));
         }
         result = result.and_then(|()| self.advance(now));
         if let Err(error) = result {
@@ -115,7 +116,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// When [`ControlNode::handle`] must be called next, at the latest.
+    /// Latest time of the next call of [`ControlNode::handle`].
     pub fn next_wake(&self) -> Duration {
         let mut wake = self.consensus.next_wake();
         if let Some(leadership) = &self.leadership {
@@ -128,36 +129,36 @@
         wake
     }
 
-    fn take_in(&mut self, now: Duration, input: NodeInput) -> Result<(), NodeError> {
+    fn handle_input(&mut self, now: Duration, input: NodeInput) -> Result<(), NodeError> {
         match input {
             NodeInput::Tick => {}
-            NodeInput::Peer(frame) => self.take_in_peer(now, frame),
-            NodeInput::BackEnd { call, answer } => self.take_in_call(now, call, answer),
-            NodeInput::Router { connection, frame } => self.take_in_router(now, connection, frame),
+            NodeInput::Peer(frame) => self.handle_peer(now, frame),
+            NodeInput::BackEnd { call, answer } => self.handle_call(now, call, answer),
+            NodeInput::Router { connection, frame } => self.handle_router(now, connection, frame),
             NodeInput::RouterClosed { connection } => self.routers.close(connection),
-            NodeInput::Admin { reply, request } => self.take_in_admin(now, reply, request)?,
-            NodeInput::Machines(machines) => self.take_in_machines(now, machines),
+            NodeInput::Admin { reply, request } => self.handle_admin(now, reply, request)?,
+            NodeInput::Machines(machines) => self.handle_machines(now, machines),
         }
         Ok(())
     }
 
-    fn take_in_peer(&mut self, now: Duration, frame: PeerFrame) {
+    fn handle_peer(&mut self, now: Duration, frame: PeerFrame) {
         match frame {
             PeerFrame::Message(message) if message.to == self.replica => {
                 self.consensus.step(now, message);
             }
             PeerFrame::Message(_) => {}
-            PeerFrame::JoinRequest(request) => self.take_in_join(now, request),
-            PeerFrame::JoinResponse(response) => self.take_in_join_response(now, response),
+            PeerFrame::JoinRequest(request) => self.handle_join(now, request),
+            PeerFrame::JoinResponse(response) => self.handle_join_response(now, response),
         }
     }
 
     /// Whether this replica belongs to a group: founded, or with a copy of a group's log.
     fn is_founded(&self) -> bool {
-        self.storage.identity().cluster.is_some() || self.has_copy()
+        self.storage.identity().cluster.is_some() || self.has_log()
     }
 
-    fn has_copy(&self) -> bool {
+    fn has_log(&self) -> bool {
         !self.consensus.membership().members.is_empty()
     }
 
@@ -165,12 +166,15 @@
         self.outputs.push(NodeOutput::Notice(notice));
     }
 
-    /// Members heard from lately, as the leader knows; this replica alone otherwise.
+    /// Members that sent a message within the failure timeout, and this replica itself. Only the leader knows
+    /// of others.
     fn alive_members(&self, now: Duration) -> BTreeSet<ReplicaId> {
-        let limit = self.config.silence_limit();
-        let heard = self.consensus.member_progress().into_iter();
-        heard
-            .filter(|(_, _, heard)| heard.is_some_and(|at| now.saturating_sub(at) <= limit))
+        let timeout = self.config.failure_timeout();
+        let progress = self.consensus.member_progress().into_iter();
+        progress
+            .filter(|(_, _, last_heard)| {
+                last_heard.is_some_and(|at| now.saturating_sub(at) <= timeout)
+            })
             .map(|(replica, _, _)| replica)
             .chain([self.replica])
             .collect()
--- a/crates/control/src/node/output.rs
+++ b/crates/control/src/node/output.rs
@@ -1,6 +1,6 @@
-//! What a control node asks of whoever drives it.
+//! Outputs of a control node, which its caller executes.
 //!
-//! Invariant: an output is handed out only after everything it rests on is synced.
+//! Invariant: an output is returned only after everything that it depends on is synced.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use super::error::NodeError;
 use super::input::{CallId, ConnectionId, ReplyId};
 
-/// One thing to do.
+/// One action for the caller to execute.
 #[derive(Debug)]
 pub enum NodeOutput {
     /// Send a frame to another replica; it may be lost.
@@ -23,9 +23,9 @@
         /// The frame.
         frame: PeerFrame,
     },
-    /// Call a back end and hand in its answer as [`super::input::NodeInput::BackEnd`].
+    /// Call a back end and pass its answer back as [`super::input::NodeInput::BackEnd`].
     BackEnd {
-        /// Names the call.
+        /// Identifies the call.
         call: CallId,
         /// Address of the back end.
         address: SocketAddress,
@@ -39,16 +39,17 @@
         /// The frame.
         frame: Arc<ControlFrame>,
     },
-    /// Answer an operator.
+    /// Answer an admin request.
     AdminReply {
-        /// Names the reply.
+        /// Identifies the reply.
         reply: ReplyId,
         /// The answer.
         result: Result<AdminAnswer, ApiError>,
     },
-    /// Something worth a log line.
+    /// An event to log.
     Notice(Notice),
-    /// The node stopped: it can't keep its promises any more. It ignores every later input.
+    /// The node stopped because it can't guarantee durability or consistency any more. It ignores later
+    /// inputs.
     Failed(NodeError),
 }
 
@@ -72,7 +73,7 @@
 pub enum AdminAnswer {
     /// The group is founded, by this request or an earlier one with the same cluster.
     Founded(IdentityAnswer),
-    /// Who this replica is.
+    /// Identity and addresses of this replica.
     Identity(IdentityAnswer),
     /// The bundle is accepted.
     Rolled(RollAnswer),
@@ -80,13 +81,13 @@
     Bundle(Box<SignedBundle>),
     /// The routing table in force.
     Table(Box<TableSnapshot>),
-    /// The group as this replica sees it.
+    /// The group's state as known to this replica.
     Status(Box<Status>),
     /// The drain is committed.
     Drained(DrainServerAnswer),
     /// The removal is committed.
     Removed(RemoveMemberAnswer),
-    /// Counters and gauges.
+    /// Counters and gauges of the node.
     Metrics(Box<NodeMetrics>),
     /// Whether a leader is known and everything known to be committed is applied.
     Ready(bool),
@@ -103,7 +104,7 @@
     pub commit: u64,
     /// Highest index applied.
     pub applied: u64,
-    /// Index of the last change of the table.
+    /// Log index of the last table change.
     pub table_index: u64,
     /// Version of the bundle in force; 0 before the first.
     pub bundle_version: u64,
@@ -127,37 +128,37 @@
     pub table_snapshots: u64,
     /// Deltas of the table sent to routers since the start.
     pub table_deltas: u64,
-    /// Routers that follow this replica now.
+    /// Routers connected to this replica as followers of the table.
     pub routers: u64,
-    /// Shards without an owner, as the leader sees it.
+    /// Shards without an owner in the applied state.
     pub unowned_shards: u64,
-    /// Shards being handed over, as the leader sees it.
+    /// Shards being moved between servers; 0 unless this replica leads.
     pub moving_shards: u64,
 }
 
-/// Something worth a log line.
+/// An event to log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The group was founded here.
     Founded,
-    /// This replica leads.
+    /// This replica became the leader.
     BecameLeader {
         /// Its term.
         term: Term,
     },
-    /// This replica leads no more.
+    /// This replica is no longer the leader.
     LostLeadership {
         /// Current term.
         term: Term,
     },
-    /// This replica asks to join the group.
+    /// The group accepted this replica's join request.
     Joining {
         /// Its identity.
         replica: ReplicaId,
     },
-    /// The group refuses this replica.
+    /// The group rejected this replica's join request.
     JoinRefused {
-        /// Why.
+        /// The reason, as sent by the group.
         reason: String,
     },
     /// A new membership is committed.
@@ -180,12 +181,12 @@
     SnapshotSaved {
         /// Its index.
         index: LogIndex,
-        /// Its size.
+        /// Its encoded size.
         bytes: usize,
     },
-    /// The end of the log was torn by a crash and was cut off.
+    /// An incomplete write at the end of the log, left by a crash, was truncated at startup.
     TornTailCut {
-        /// Bytes cut off.
+        /// Bytes truncated.
         bytes: u64,
     },
 }
--- a/crates/control/src/node/replication.rs
+++ b/crates/control/src/node/replication.rs
@@ -1,7 +1,7 @@
-//! Makes durable what consensus asks for, sends its messages and applies what is committed.
+//! Persists the output of consensus, sends its messages and applies committed entries.
 //!
-//! Invariant: messages leave only after the snapshot, the hard state and the entries of the same
-//! [`Ready`] are synced; entries are applied in the order of the log, each once.
+//! Invariant: messages are sent only after the snapshot, the hard state and the entries of the same
+//! [`Ready`] are synced; entries are applied in log order, each once.
 
 use std::time::Duration;
 
@@ -19,27 +19,27 @@
 use super::waiting::EntryWaiter;
 use super::ControlNode;
 
-/// Rounds of work in one call, so that a node that makes its own work still returns.
+/// Maximum rounds per call, so that the call returns even if each round produces more work.
 const MAXIMUM_ROUNDS: usize = 8;
 
 impl<D: Disk> ControlNode<D> {
-    /// Works until nothing is left to do now.
+    /// Processes consensus output until none is left or [`MAXIMUM_ROUNDS`] is reached.
     pub(super) fn advance(&mut self, now: Duration) -> Result<(), NodeError> {
         for _ in 0..MAXIMUM_ROUNDS {
-            self.follow_leadership(now);
-            self.keep_members(now);
+            self.update_leadership(now);
+            self.update_membership(now);
             let ready = self.consensus.ready();
             if ready.is_empty() {
                 break;
             }
-            self.work_off(now, ready)?;
+            self.process_ready(now, ready)?;
         }
-        self.keep_joining(now);
+        self.retry_join(now);
         self.push_tables(now);
-        self.save_snapshot_when_due()
+        self.save_snapshot_if_due()
     }
 
-    fn work_off(&mut self, now: Duration, ready: Ready) -> Result<(), NodeError> {
+    fn process_ready(&mut self, now: Duration, ready: Ready) -> Result<(), NodeError> {
         let written = self.log_writer.write(&mut self.storage, &ready)?;
         self.metrics.syncs += written.syncs;
         self.metrics.entries += written.entries;
@@ -48,7 +48,7 @@
             self.send(message);
         }
         if let Some((meta, data)) = ready.snapshot {
-            self.take_over_snapshot(&meta, &data)?;
+            self.install_snapshot(&meta, &data)?;
         }
         for entry in ready.committed {
             self.apply(now, entry)?;
@@ -63,8 +63,8 @@
         Ok(())
     }
 
-    /// Sends a message to the addressee; to every configured replica while its address isn't known,
-    /// as at a replica whose log is still empty. The others drop it.
+    /// Sends a message to its recipient. While the recipient's address is unknown, as on a replica with an
+    /// empty log, it is sent to every configured peer; replicas that aren't the recipient drop it.
     fn send(&mut self, message: PeerMessage) {
         let known = self.address_of(message.to);
         let addresses = match known {
@@ -88,7 +88,7 @@
         member.map(|member| member.peer_address.clone())
     }
 
-    fn take_over_snapshot(&mut self, meta: &SnapshotMeta, data: &[u8]) -> Result<(), NodeError> {
+    fn install_snapshot(&mut self, meta: &SnapshotMeta, data: &[u8]) -> Result<(), NodeError> {
         self.state
             .restore(data)
             .map_err(|error| NodeError::Snapshot(error.to_string()))?;
@@ -149,7 +149,7 @@
         self.answer_applied(waiter, index, &applied);
     }
 
-    fn save_snapshot_when_due(&mut self) -> Result<(), NodeError> {
+    fn save_snapshot_if_due(&mut self) -> Result<(), NodeError> {
         let covered = self.storage.snapshot_index();
         if self.applied.0.saturating_sub(covered.0) < self.config.timing.snapshot_every_entries {
             return Ok(());
--- a/crates/control/src/node/routers.rs
+++ b/crates/control/src/node/routers.rs
@@ -1,6 +1,6 @@
-//! Routers that follow the table.
+//! Distribution of the routing table to connected routers.
 //!
-//! Invariant: a router's first table comes from a linearizable read; after it, each frame follows the
+//! Invariant: a router's first table comes from a linearizable read; each later frame continues from the
 //! index of the frame before it.
 
 use std::collections::BTreeMap;
@@ -19,34 +19,34 @@
 use super::waiting::ReadWaiter;
 use super::ControlNode;
 
-/// Silence after which a router that is gone no longer counts in reports.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Age at which a router's last report is dropped from the status.
+const REPORT_EXPIRY: Duration = Duration::from_secs(30);
 
-/// What is known of one connection.
+/// State of one router connection.
 #[derive(Debug)]
 struct Follower {
     request: FollowRequest,
-    /// Index of the last table or delta sent; absent until the first read is confirmed.
-    sent: Option<LogIndex>,
+    /// Table index last sent; none until the first read is confirmed.
+    sent_index: Option<LogIndex>,
 }
 
-/// What a router last told.
+/// Last report of a router.
 #[derive(Debug)]
 struct Report {
     zone: ZoneName,
     in_force: LogIndex,
-    heard: Duration,
+    received_at: Duration,
 }
 
-/// Every router that follows this replica, and what it told.
+/// Connected routers and the last report of each.
 #[derive(Debug)]
 pub(super) struct Routers {
     followers: BTreeMap<ConnectionId, Follower>,
     reports: BTreeMap<RouterName, Report>,
     interval: Duration,
-    next_current: Duration,
-    /// The whole table at its index, made once for all routers that need it.
-    table: Option<(LogIndex, Arc<ControlFrame>)>,
+    next_current_at: Duration,
+    /// Full table frame and its index, built once and shared by all routers that need it.
+    cached_table: Option<(LogIndex, Arc<ControlFrame>)>,
 }
 
 impl Routers {
@@ -55,8 +55,8 @@
             followers: BTreeMap::new(),
             reports: BTreeMap::new(),
             interval,
-            next_current: Duration::ZERO,
-            table: None,
+            next_current_at: Duration::ZERO,
+            cached_table: None,
         }
     }
 
@@ -64,11 +64,11 @@
         self.followers.remove(&connection);
     }
 
-    /// When the routers must hear next that their table is current.
+    /// When the next [`ControlFrame::Current`] is due.
     pub(super) fn next_wake(&self) -> Duration {
         match self.followers.is_empty() {
             true => Duration::MAX,
-            false => self.next_current,
+            false => self.next_current_at,
         }
     }
 
@@ -76,18 +76,24 @@
         self.followers.len()
     }
 
-    fn note(&mut self, name: &RouterName, zone: &ZoneName, in_force: LogIndex, heard: Duration) {
+    fn record_report(
+        &mut self,
+        name: &RouterName,
+        zone: &ZoneName,
+        in_force: LogIndex,
+        received_at: Duration,
+    ) {
         let report = Report {
             zone: zone.clone(),
             in_force,
-            heard,
+            received_at,
         };
         self.reports.insert(name.clone(), report);
     }
 
-    fn forget_silent(&mut self, now: Duration) {
+    fn remove_expired_reports(&mut self, now: Duration) {
         self.reports
-            .retain(|_, report| now.saturating_sub(report.heard) <= FORGET_AFTER);
+            .retain(|_, report| now.saturating_sub(report.received_at) <= REPORT_EXPIRY);
     }
 
     pub(super) fn status(&self, now: Duration) -> Vec<RouterStatus> {
@@ -97,26 +103,26 @@
                 router: router.clone(),
                 zone: report.zone.clone(),
                 in_force: report.in_force,
-                last_heard_ms: now.saturating_sub(report.heard).as_millis() as u64,
+                last_heard_ms: now.saturating_sub(report.received_at).as_millis() as u64,
             })
             .collect()
     }
 }
 
 impl<D: Disk> ControlNode<D> {
-    pub(super) fn take_in_router(
+    pub(super) fn handle_router(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         frame: RouterFrame,
     ) {
         match frame {
-            RouterFrame::Follow(request) => self.take_in_follow(now, connection, request),
-            RouterFrame::Report(report) => self.take_in_report(now, connection, report),
+            RouterFrame::Follow(request) => self.handle_follow(now, connection, request),
+            RouterFrame::Report(report) => self.handle_report(now, connection, report),
         }
     }
 
-    fn take_in_follow(&mut self, now: Duration, connection: ConnectionId, request: FollowRequest) {
+    fn handle_follow(&mut self, now: Duration, connection: ConnectionId, request: FollowRequest) {
         if request.group != self.config.group {
             return self.redirect(connection, None);
         }
@@ -126,7 +132,7 @@
                 self.waiting.add_read(read, waiter);
                 let follower = Follower {
                     request,
-                    sent: None,
+                    sent_index: None,
                 };
                 self.routers.followers.insert(connection, follower);
             }
@@ -140,17 +146,17 @@
         }
     }
 
-    fn take_in_report(&mut self, now: Duration, connection: ConnectionId, report: LoadReport) {
+    fn handle_report(&mut self, now: Duration, connection: ConnectionId, report: LoadReport) {
         let Some(follower) = self.routers.followers.get(&connection) else {
             return;
         };
         let zone = follower.request.zone.clone();
         self.routers
-            .note(&report.router, &zone, report.in_force, now);
+            .record_report(&report.router, &zone, report.in_force, now);
         self.coordinate(now, CoordinatorInput::LoadReported(&report));
     }
 
-    /// Sends the first table to a router whose read is confirmed and applied.
+    /// Sends the first frame to a router once its read is confirmed and applied.
     pub(super) fn start_following(&mut self, connection: ConnectionId) {
         let Some(follower) = self.routers.followers.get(&connection) else {
             return;
@@ -159,11 +165,12 @@
         let frame = self.frame_after(have);
         self.send_router(connection, frame);
         if let Some(follower) = self.routers.followers.get_mut(&connection) {
-            follower.sent = Some(self.state.table_index());
+            follower.sent_index = Some(self.state.table_index());
         }
     }
 
-    /// What brings a router from the table at `have` to the present one.
+    /// Frame that updates a router from the table at index `have` to the present one: a delta if one can be
+    /// built, otherwise the full table.
     fn frame_after(&mut self, have: LogIndex) -> Arc<ControlFrame> {
         let index = self.state.table_index();
         if have == index && have > LogIndex(0) {
@@ -177,23 +184,23 @@
             }
             None => {
                 self.metrics.table_snapshots += 1;
-                self.whole_table(index)
+                self.full_table(index)
             }
         }
     }
 
-    fn whole_table(&mut self, index: LogIndex) -> Arc<ControlFrame> {
-        if let Some((made_at, frame)) = &self.routers.table {
+    fn full_table(&mut self, index: LogIndex) -> Arc<ControlFrame> {
+        if let Some((made_at, frame)) = &self.routers.cached_table {
             if *made_at == index {
                 return Arc::clone(frame);
             }
         }
         let frame = Arc::new(ControlFrame::Snapshot(self.state.table()));
-        self.routers.table = Some((index, Arc::clone(&frame)));
+        self.routers.cached_table = Some((index, Arc::clone(&frame)));
         frame
     }
 
-    /// Sends every change to every follower, and at intervals tells them that they are current.
+    /// Sends table changes to all followers, and [`ControlFrame::Current`] at intervals.
     pub(super) fn push_tables(&mut self, now: Duration) {
         if self.leadership.is_none() {
             return;
@@ -208,26 +215,26 @@
             frames.insert(sent, Arc::clone(&frame));
             self.send_router(connection, frame);
             if let Some(follower) = self.routers.followers.get_mut(&connection) {
-                follower.sent = Some(index);
+                follower.sent_index = Some(index);
             }
         }
-        self.tell_current(now);
+        self.send_current(now);
     }
 
     fn followers_behind(&self, index: LogIndex) -> Vec<(ConnectionId, LogIndex)> {
         let followers = self.routers.followers.iter();
         followers
-            .filter_map(|(connection, follower)| Some((*connection, follower.sent?)))
+            .filter_map(|(connection, follower)| Some((*connection, follower.sent_index?)))
             .filter(|(_, sent)| *sent < index)
             .collect()
     }
 
-    fn tell_current(&mut self, now: Duration) {
-        if now < self.routers.next_current {
+    fn send_current(&mut self, now: Duration) {
+        if now < self.routers.next_current_at {
             return;
         }
-        self.routers.next_current = now + self.routers.interval;
-        self.routers.forget_silent(now);
+        self.routers.next_current_at = now + self.routers.interval;
+        self.routers.remove_expired_reports(now);
         let lease_until = self.consensus.leader_lease_until().unwrap_or_default();
         if lease_until <= now {
             return;
@@ -235,7 +242,7 @@
         let frame = Arc::new(ControlFrame::Current(self.applied));
         let followers = self.routers.followers.iter();
         let started: Vec<ConnectionId> = followers
-            .filter(|(_, follower)| follower.sent.is_some())
+            .filter(|(_, follower)| follower.sent_index.is_some())
             .map(|(connection, _)| *connection)
             .collect();
         for connection in started {
@@ -243,13 +250,13 @@
         }
     }
 
-    /// Sends every follower to the new leader.
+    /// Redirects all followers to the new leader, or without an address while none is known.
     pub(super) fn redirect_routers(&mut self) {
         let leader = self.leader_member();
         let address = leader
             .filter(|member| member.replica != self.replica)
             .map(|member| member.router_address.clone());
-        self.routers.table = None;
+        self.routers.cached_table = None;
         let followers = std::mem::take(&mut self.routers.followers);
         for connection in followers.into_keys() {
             self.redirect(connection, address.clone());
--- a/crates/control/src/node/startup.rs
+++ b/crates/control/src/node/startup.rs
@@ -1,7 +1,7 @@
 //! Opens a node on its disk.
 //!
-//! Invariant: an empty folder gets an identity that no other folder ever had, and joins or is founded
-//! under it; a folder that lost anything is refused.
+//! Invariant: an empty data directory gets an identity that was never used before, and joins or is founded
+//! under it; a data directory that lost synced data is rejected.
 
 use std::time::Duration;
 
@@ -20,14 +20,14 @@
 use super::waiting::Waiting;
 use super::ControlNode;
 
-/// Opens a folder, empty or not.
+/// Creates the data directory's contents if it is empty, and restores the node from it otherwise.
 pub(super) fn open<D: Disk>(
     config: NodeConfig,
     disk: D,
     now: Duration,
 ) -> Result<ControlNode<D>, NodeError> {
     let (storage, restored) = match ReplicaStorage::open(disk)? {
-        Opened::Empty(disk) => (create(&config, disk)?, nothing_restored()),
+        Opened::Empty(disk) => (create(&config, disk)?, empty_state()),
         Opened::Present {
             storage, restored, ..
         } => (storage, restored),
@@ -40,7 +40,7 @@
         });
     }
     let storage = storage.with_guards(config.guards.storage);
-    assemble(config, storage, identity.replica, restored, now)
+    build_node(config, storage, identity.replica, restored, now)
 }
 
 fn create<D: Disk>(config: &NodeConfig, disk: D) -> Result<ReplicaStorage<D>, NodeError> {
@@ -52,7 +52,7 @@
     Ok(ReplicaStorage::create(disk, identity, None)?)
 }
 
-fn assemble<D: Disk>(
+fn build_node<D: Disk>(
     config: NodeConfig,
     storage: ReplicaStorage<D>,
     replica: ReplicaId,
@@ -104,7 +104,7 @@
     Ok((state, meta.index))
 }
 
-fn nothing_restored() -> RestoredState {
+fn empty_state() -> RestoredState {
     RestoredState {
         hard_state: HardState {
             term: Term(0),
--- a/crates/control/src/node/status.rs
+++ b/crates/control/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What a replica tells of itself and its group.
+//! Status and metrics of a replica and its group.
 
 use std::time::Duration;
 
@@ -11,8 +11,9 @@
 use super::ControlNode;
 
 impl<D: Disk> ControlNode<D> {
-    /// The group as this replica sees it. Servers, routers and tolerated losses are known to the
-    /// leader alone; another replica reports none.
+    /// The group's status as known to this replica. Servers and tolerated losses are known only to the
+    /// leader; other replicas report none. Routers are those that reported to this replica, most recently
+    /// while it led.
     pub(super) fn status(&self, now: Duration) -> Status {
         let coordinator = self.leadership.as_ref().map(|l| l.coordinator());
         let bundle = self.state.bundle_record();
@@ -30,7 +31,7 @@
             servers: coordinator
                 .map(|coordinator| coordinator.server_status(now, &self.state))
                 .unwrap_or_default(),
-            slowest_router: slowest(&routers),
+            slowest_router: most_outdated(&routers),
             routers,
             unowned_shards: u32::try_from(self.state.unowned_shards()).unwrap_or(u32::MAX),
             moving_shards: coordinator.map_or(0, |coordinator| coordinator.moving()),
@@ -41,7 +42,7 @@
     }
 
     fn role(&self) -> ReplicaRole {
-        if !self.has_copy() {
+        if !self.has_log() {
             return ReplicaRole::Joining;
         }
         match self.consensus.role() {
@@ -58,15 +59,15 @@
         members
             .map(|member| {
                 let known = progress.iter().find(|(id, _, _)| *id == member.replica);
-                let heard = known.and_then(|(_, _, heard)| *heard);
-                let silent = match member.replica == self.replica {
+                let last_heard = known.and_then(|(_, _, last_heard)| *last_heard);
+                let since_last_heard = match member.replica == self.replica {
                     true => Duration::ZERO,
-                    false => heard.map_or(now, |at| now.saturating_sub(at)),
+                    false => last_heard.map_or(now, |at| now.saturating_sub(at)),
                 };
                 MemberStatus {
                     member: member.clone(),
                     match_index: known.map(|(_, index, _)| *index).unwrap_or_default(),
-                    last_heard_ms: silent.as_millis() as u64,
+                    last_heard_ms: since_last_heard.as_millis() as u64,
                 }
             })
             .collect()
@@ -84,7 +85,7 @@
 
     /// Whether a leader is known and everything known to be committed is applied.
     pub(super) fn is_ready(&self) -> bool {
-        self.has_copy()
+        self.has_log()
             && self.consensus.leader().is_some()
             && self.applied >= self.consensus.commit()
     }
@@ -109,8 +110,8 @@
     }
 }
 
-/// The router whose table is oldest; of equals the one silent for longest.
-fn slowest(routers: &[RouterStatus]) -> Option<RouterStatus> {
+/// The router with the oldest table; on a tie, the one whose last report is oldest.
+fn most_outdated(routers: &[RouterStatus]) -> Option<RouterStatus> {
     let by_age =
         |router: &&RouterStatus| (router.in_force, std::cmp::Reverse(router.last_heard_ms));
     routers.iter().min_by_key(by_age).cloned()
--- a/crates/control/src/node/tolerance.rs
+++ b/crates/control/src/node/tolerance.rs
@@ -1,14 +1,14 @@
-//! What a control group may still lose without losing its decisions.
+//! Failures that a control group can still tolerate without losing its quorum.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use grebepin_replica::members::voters;
 use grebepin_schema::{Member, Membership, ReplicaId, ToleratedLosses, ZoneName};
 
-/// Losses tolerated now, given the members that are heard from.
+/// Failures tolerated at present, given the alive members.
 ///
-/// A voter that isn't heard from counts as lost already. A zone is listed when every voter in it may
-/// be lost at once.
+/// A voter that isn't alive counts as already lost. A zone is listed if all its voters may fail at once
+/// without loss of the quorum.
 pub fn tolerated_losses(membership: &Membership, alive: &BTreeSet<ReplicaId>) -> ToleratedLosses {
     let voters: Vec<&Member> = voters(membership).collect();
     let quorum = voters.len() / 2 + 1;
--- a/crates/control/src/node/waiting.rs
+++ b/crates/control/src/node/waiting.rs
@@ -1,7 +1,7 @@
-//! Operators and routers that wait for an entry to be committed or a read to be confirmed.
+//! Requests that wait for an entry to be committed or a read to be confirmed.
 //!
-//! Invariant: everyone who waits is answered exactly once: with the result of the very entry that was
-//! proposed, or with `lost-leadership` when its outcome can't be known here any more.
+//! Invariant: each request is answered exactly once: with the result of the entry that was proposed for it,
+//! or with `lost-leadership` once this replica can't learn the outcome any more.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 
 use super::input::{ConnectionId, ReplyId};
 
-/// Who waits for an entry.
+/// Request that waits for a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum EntryWaiter {
-    /// Asked to put a bundle in force.
+    /// Submission of a bundle.
     Bundle(ReplyId),
-    /// Asked to drain a server, or to bring it back.
+    /// Start or end of a server's drain.
     Drain(ReplyId),
-    /// Asked to remove a member.
+    /// Removal of a member.
     RemoveMember(ReplyId),
 }
 
@@ -29,18 +29,18 @@
     }
 }
 
-/// Who waits for a linearizable read.
+/// Request that waits for a linearizable read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReadWaiter {
-    /// Asked for the bundle in force.
+    /// Read of the bundle in force.
     Bundle(ReplyId),
-    /// Asked for the routing table.
+    /// Read of the routing table.
     Table(ReplyId),
-    /// A router that asked for the table.
+    /// First table of a router's connection.
     Follow(ConnectionId),
 }
 
-/// Everyone who waits.
+/// All waiting requests.
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
     entries: BTreeMap<LogIndex, (Term, EntryWaiter)>,
@@ -57,8 +57,8 @@
         self.reads.insert(read, waiter);
     }
 
-    /// Who waits for the committed entry. An entry of another term at the index is not the one that
-    /// was proposed: its waiter is left for [`Waiting::take_all`].
+    /// Removes and returns the waiter of a committed entry. If the term differs, another entry was committed
+    /// at the index, and the waiter stays until [`Waiting::take_all`].
     pub(super) fn take_entry(&mut self, term: Term, index: LogIndex) -> Option<EntryWaiter> {
         let (proposed, _) = self.entries.get(&index)?;
         if *proposed != term {
@@ -67,14 +67,14 @@
         self.entries.remove(&index).map(|(_, waiter)| waiter)
     }
 
-    /// Notes that a majority confirmed a read, which is answered once `index` is applied.
+    /// Records that a majority confirmed a read, which is answered once `index` is applied.
     pub(super) fn confirm_read(&mut self, read: ReadId, index: LogIndex) {
         if let Some(waiter) = self.reads.remove(&read) {
             self.confirmed.push((index, waiter));
         }
     }
 
-    /// Confirmed reads that may be answered now.
+    /// Removes and returns the confirmed reads whose index is applied.
     pub(super) fn take_reads(&mut self, applied: LogIndex) -> Vec<ReadWaiter> {
         let (due, later) = std::mem::take(&mut self.confirmed)
             .into_iter()
@@ -84,7 +84,7 @@
         due.into_iter().map(|(_, waiter)| waiter).collect()
     }
 
-    /// Everyone, after leadership was lost.
+    /// Removes and returns all waiters, after leadership was lost.
     pub(super) fn take_all(&mut self) -> (Vec<EntryWaiter>, Vec<ReadWaiter>) {
         let entries = std::mem::take(&mut self.entries);
         let reads = std::mem::take(&mut self.reads);
--- a/crates/control/tests/followers.rs
+++ b/crates/control/tests/followers.rs
@@ -1,4 +1,4 @@
-//! What routers that follow the table are sent.
+//! Frames that are sent to routers that follow the table.
 
 mod support;
 
@@ -31,16 +31,19 @@
     })
 }
 
-/// Index of the table that the frames lead to, checking that each follows the one before.
-fn follow_up(frames: &[ControlFrame], mut have: LogIndex) -> LogIndex {
+/// Checks that each frame continues from the one before, and returns the index of the last table.
+fn check_frames(frames: &[ControlFrame], mut have: LogIndex) -> LogIndex {
     for frame in frames {
         match frame {
             ControlFrame::Snapshot(snapshot) => {
-                assert!(snapshot.index >= have, "a table never goes back");
+                assert!(snapshot.index >= have, "the table index must not decrease");
                 have = snapshot.index;
             }
             ControlFrame::Delta(delta) => {
-                assert_eq!(delta.previous, have, "a delta follows the table before");
+                assert_eq!(
+                    delta.previous, have,
+                    "a delta must continue from the previous table"
+                );
                 have = delta.index;
             }
             ControlFrame::Current(index) => assert!(*index >= have),
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn a_router_gets_the_table_then_changes_then_word_that_it_is_current() {
+fn a_router_receives_a_snapshot_then_deltas_then_current_frames() {
     let mut cluster = Cluster::founded(3);
     let first = bundle(1, None, "");
     cluster.roll(&first).expect("accepted");
@@ -66,7 +69,7 @@
     cluster.roll(&second).expect("accepted");
     cluster.run(Duration::from_secs(1));
     let table_index = cluster.node(leader).state().table_index();
-    let have = follow_up(&cluster.frames[&connection], LogIndex(0));
+    let have = check_frames(&cluster.frames[&connection], LogIndex(0));
     assert_eq!(have, table_index);
     let last = cluster.frames[&connection].last();
     assert!(matches!(last, Some(ControlFrame::Current(_))), "{last:?}");
@@ -78,17 +81,17 @@
         Some(have)
     );
 
-    // The same router again, with the table it has: no whole table is sent.
-    let again = ConnectionId(2);
+    // A router that reconnects with the present table gets no full table.
+    let reconnected = ConnectionId(2);
     cluster.input(leader, NodeInput::RouterClosed { connection });
-    cluster.router(leader, again, follow(have));
+    cluster.router(leader, reconnected, follow(have));
     cluster.run(Duration::from_millis(50));
-    let frames = &cluster.frames[&again];
+    let frames = &cluster.frames[&reconnected];
     assert!(matches!(frames[0], ControlFrame::Current(_)), "{frames:?}");
 }
 
 #[test]
-fn routers_are_sent_on_to_the_leader() {
+fn routers_are_redirected_to_the_leader() {
     let mut cluster = Cluster::founded(3);
     let leader = cluster.expect_leader();
     let follower = (leader + 1) % 3;
@@ -100,7 +103,7 @@
         matches!(&sent[..], [ControlFrame::Redirect(to)] if to.router_address == Some(address))
     );
 
-    // A leader that is cut off confirms nothing and sends its routers away.
+    // A leader that is cut off from the majority can't confirm reads, and redirects its routers.
     cluster.router(leader, ConnectionId(2), follow(LogIndex(0)));
     cluster.run(Duration::from_millis(50));
     cluster.cut.insert(leader);
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -1,4 +1,4 @@
-//! A control group of pure nodes under the failures it must bear.
+//! A control group on simulated disks and network, under the failures that it must tolerate.
 
 mod support;
 
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn founding_is_explicit_and_may_be_sent_again() {
+fn founding_is_explicit_and_idempotent() {
     let mut cluster = Cluster::new(3);
     cluster.run(Duration::from_secs(3));
     assert_eq!(
         cluster.leader(),
         None,
-        "an empty replica never founds itself"
+        "an empty replica must not found a group by itself"
     );
     let refused = cluster.roll_at(0, &bundle(1, None, ""));
     assert_eq!(kind(&refused), Some(ApiErrorKind::NotFounded));
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn a_lost_folder_is_not_founded_again() {
+fn a_replica_that_lost_its_data_is_not_founded_again() {
     let mut cluster = Cluster::new(3);
     let request = cluster.found_request();
     cluster.found();
     cluster.settle();
     cluster.lose_disk(2);
-    cluster.start(2).expect("an empty folder opens");
+    cluster.start(2).expect("an empty disk opens");
     let answer = cluster.ask(2, AdminRequest::Found(request));
     assert_eq!(kind(&answer), Some(ApiErrorKind::BadRequest));
 }
@@ -86,7 +86,7 @@
         (accepted.index, accepted.digest)
     );
 
-    cluster.start(old).expect("a whole folder opens");
+    cluster.start(old).expect("an intact disk opens");
     cluster.settle();
     let status = cluster.status(old);
     assert_eq!(status.role, ReplicaRole::Follower);
@@ -100,7 +100,7 @@
     let follower = (leader + 1) % 3;
     let error = cluster
         .roll_at(follower, &bundle(1, None, ""))
-        .expect_err("a follower takes no bundle");
+        .expect_err("a follower rejects bundles");
     assert_eq!(error.kind, ApiErrorKind::NotLeader);
     assert_eq!(
         error.leader_admin_address,
@@ -109,18 +109,21 @@
 }
 
 #[test]
-fn a_bundle_sent_again_after_a_lost_answer_is_one_bundle() {
+fn a_bundle_resubmitted_after_a_lost_answer_is_accepted_once() {
     let mut cluster = Cluster::founded(3);
     let first = bundle(1, None, "");
     let leader = cluster.expect_leader();
-    // The leader is cut off right after it took the bundle in: its operator never learns the outcome.
-    let lost = cluster.begin(leader, submit(&first));
+    // The leader is partitioned right after it received the bundle, so its operator doesn't learn the
+    // outcome.
+    let unanswered = cluster.begin(leader, submit(&first));
     cluster.step();
     cluster.cut.insert(leader);
     cluster.settle();
     let answer = rolled(cluster.roll(&first));
     cluster.run(Duration::from_secs(2));
-    let unknown = cluster.take_answer(lost).expect("the old leader answers");
+    let unknown = cluster
+        .take_answer(unanswered)
+        .expect("the old leader answers");
     assert_eq!(kind(&unknown), Some(ApiErrorKind::LostLeadership));
 
     cluster.cut.clear();
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn of_racing_operators_with_equal_numbers_one_wins() {
+fn one_of_two_concurrent_bundles_with_the_same_version_is_accepted() {
     let mut cluster = Cluster::founded(3);
     let first = bundle(1, None, "");
     rolled(cluster.roll(&first));
@@ -150,7 +153,7 @@
 }
 
 #[test]
-fn bundles_that_must_not_be_proposed() {
+fn invalid_bundles_are_rejected_before_they_are_proposed() {
     let mut cluster = Cluster::founded(1);
     let good = bundle(1, None, "");
     let mut unsigned = good.clone();
@@ -174,17 +177,17 @@
 }
 
 #[test]
-fn a_lost_disk_comes_back_as_a_new_member_in_place_of_the_old() {
+fn a_replica_that_lost_its_disk_is_replaced_by_a_new_member() {
     let mut cluster = Cluster::founded(3);
     rolled(cluster.roll(&bundle(1, None, "")));
     let lost = (cluster.expect_leader() + 1) % 3;
     let old = cluster.node(lost).replica();
     cluster.lose_disk(lost);
-    cluster.start(lost).expect("an empty folder opens");
+    cluster.start(lost).expect("an empty disk opens");
     let new = cluster.node(lost).replica();
     assert_ne!(old, new);
     cluster.run_until(
-        "the new replica is a voter and the old one gone",
+        "the new replica is a voter and the old one is removed",
         |cluster| {
             let leader = cluster.leader();
             leader.is_some_and(|leader| {
@@ -201,7 +204,7 @@
     let leader = cluster.expect_leader();
     assert_eq!(cluster.status(leader).tolerated.replicas, 1);
 
-    // A second machine is lost right after the repair.
+    // A second machine is lost right after the first was replaced.
     let second = (0..3).find(|machine| *machine != lost && *machine != leader);
     cluster.lose_disk(second.expect("a third machine"));
     cluster.run(Duration::from_secs(1));
@@ -209,8 +212,8 @@
 }
 
 #[test]
-fn a_disk_lost_again_during_the_repair_and_two_lost_at_once() {
-    // Machines of the group, and the disks that are lost one after the other, a second apart.
+fn disks_lost_again_during_the_replacement_or_two_at_once() {
+    // Number of machines, and the offsets from the leader of the machines whose disks are lost, 40 ms apart.
     let cases: [(usize, &[usize]); 3] = [(3, &[1, 1]), (5, &[1, 2]), (5, &[1, 2, 1])];
     for (machines, lost) in cases {
         let mut cluster = Cluster::founded(machines);
@@ -219,13 +222,13 @@
         for offset in lost {
             let machine = (leader + offset) % machines;
             cluster.lose_disk(machine);
-            cluster.start(machine).expect("an empty folder opens");
+            cluster.start(machine).expect("an empty disk opens");
             cluster.run(Duration::from_millis(40));
         }
         let present: Vec<_> = (0..machines)
             .map(|machine| cluster.node(machine).replica())
             .collect();
-        cluster.run_until("the group is whole again", |cluster| {
+        cluster.run_until("all present replicas are voters", |cluster| {
             cluster.leader().is_some_and(|leader| {
                 let members = &cluster.node(leader).consensus().membership().members;
                 let voters = members.iter().filter(|m| m.role == MemberRole::Voter);
@@ -243,14 +246,14 @@
     let mut cluster = Cluster::founded(3);
     let leader = cluster.expect_leader();
     let voter = cluster.member((leader + 1) % 3);
-    let impostor = Member {
+    let duplicate = Member {
         replica: ReplicaId(999),
         role: MemberRole::Learner,
         ..voter.clone()
     };
     let request = JoinRequest {
         group: GroupId(0),
-        member: impostor,
+        member: duplicate,
     };
     cluster.input(leader, NodeInput::Peer(PeerFrame::JoinRequest(request)));
     cluster.run(Duration::from_secs(2));
@@ -278,18 +281,18 @@
 }
 
 #[test]
-fn a_damaged_folder_is_refused_with_its_file() {
+fn an_error_for_damaged_data_names_the_file() {
     let mut cluster = Cluster::founded(3);
     rolled(cluster.roll(&bundle(1, None, "")));
-    let victim = (cluster.expect_leader() + 1) % 3;
-    cluster.kill(victim);
-    let disk = cluster.machines[victim].disk.clone();
+    let damaged = (cluster.expect_leader() + 1) % 3;
+    cluster.kill(damaged);
+    let disk = cluster.machines[damaged].disk.clone();
     assert!(
         disk.corrupt("identity", 20, 0xff),
         "the identity file is there"
     );
-    let Err(error) = cluster.start(victim) else {
-        panic!("a damaged folder must be refused");
+    let Err(error) = cluster.start(damaged) else {
+        panic!("a damaged disk must be rejected");
     };
     assert!(error.is_damage());
     let NodeError::Storage(StorageError::Damaged { file, .. }) = error else {
@@ -315,13 +318,13 @@
         rolled(cluster.roll(&next));
         parent = Some(digest_of(&next));
     }
-    cluster.start(absent).expect("a whole folder opens");
+    cluster.start(absent).expect("an intact disk opens");
     cluster.settle();
     assert_eq!(cluster.status(absent).bundle_version, Some(300));
     cluster.kill(absent);
     cluster
         .start(absent)
-        .expect("the folder is whole after the snapshot");
+        .expect("the disk is intact after the snapshot");
     cluster.settle();
     assert_eq!(cluster.status(absent).bundle_version, Some(300));
 }
@@ -345,8 +348,8 @@
     let unknown = cluster.ask(leader, remove(down_id));
     assert_eq!(kind(&unknown), Some(ApiErrorKind::UnknownMember));
 
-    // The removed replica stays out: it disturbs no one and does not join by itself.
-    cluster.start(down).expect("a whole folder opens");
+    // The removed replica doesn't disrupt the group and doesn't rejoin by itself.
+    cluster.start(down).expect("an intact disk opens");
     cluster.run(Duration::from_secs(2));
     assert_eq!(cluster.leader(), Some(leader));
     assert_eq!(
@@ -356,7 +359,7 @@
 }
 
 #[test]
-fn a_failed_sync_stops_the_replica_and_the_group_goes_on() {
+fn a_failed_sync_stops_the_replica_but_not_the_group() {
     let mut cluster = Cluster::founded(3);
     let leader = cluster.expect_leader();
     cluster.machines[leader].disk.fail_next_sync();
@@ -366,7 +369,9 @@
     cluster.settle();
     rolled(cluster.roll(&bundle(1, None, "")));
     cluster.machines[leader].disk.crash(Crash::TearWrites);
-    cluster.start(leader).expect("a torn tail is cut");
+    cluster
+        .start(leader)
+        .expect("an incomplete last write is truncated");
     cluster.settle();
     assert_eq!(cluster.status(leader).bundle_version, Some(1));
 }
--- a/crates/control/tests/http.rs
+++ b/crates/control/tests/http.rs
@@ -1,4 +1,4 @@
-//! What the admin address answers to odd requests.
+//! Responses of the admin interface to malformed and unusual requests.
 
 mod support;
 
@@ -11,7 +11,7 @@
 fn exchange(group: &LoopbackGroup, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(group.admin(0)).expect("it listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-    // A replica that refused the head may close before all is written.
+    // A replica that rejects the head may close the connection before everything is written.
     let _ = stream.write_all(bytes);
     let _ = stream.shutdown(Shutdown::Write);
     let mut answer = Vec::new();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn odd_requests_get_typed_answers() {
+fn malformed_requests_get_the_right_status() {
     let group = LoopbackGroup::start(1);
     let long_header = format!("GET /live HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(40_000));
     let many_headers = format!("GET /live HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(100));
@@ -79,6 +79,6 @@
     assert_eq!(
         exchange(&group, b"GET /li"),
         "",
-        "half a request has no answer"
+        "an incomplete request must get no response"
     );
 }
--- a/crates/control/tests/loopback.rs
+++ b/crates/control/tests/loopback.rs
@@ -11,7 +11,7 @@
 use support::group::{LoopbackGroup, PATIENCE};
 
 #[test]
-fn a_group_bears_a_stopped_leader_and_a_lost_folder() {
+fn a_group_survives_a_stopped_leader_and_a_lost_data_directory() {
     let mut group = LoopbackGroup::start(3);
     group.found();
     let client = group.client();
@@ -26,7 +26,7 @@
     assert!(again.repeated);
     assert_eq!(again.index, accepted.index);
 
-    // The stopped replica comes back with an empty folder and takes its old place.
+    // The stopped replica restarts with an empty data directory and replaces its former identity.
     let old = status.replica;
     group.remove_folder(leader);
     group.restart(leader);
@@ -37,7 +37,7 @@
     });
     assert_eq!(status.tolerated.zones.len(), 3);
 
-    // A second machine goes right after the repair.
+    // A second replica stops right after the first was replaced.
     let (leader, _) = group.wait_for_leader("a leader", |_| true);
     group.stop(leader);
     let second = bundle(2, Some(digest_of(&first)), "");
@@ -107,13 +107,13 @@
 }
 
 #[test]
-fn a_silent_connection_holds_up_no_other() {
+fn idle_connections_do_not_block_others() {
     let group = LoopbackGroup::start(1);
-    let silent: Vec<TcpStream> = (0..8)
+    let idle: Vec<TcpStream> = (0..8)
         .flat_map(|_| [group.router(0), group.admin(0)])
         .map(|address| TcpStream::connect(address).expect("it listens"))
         .collect();
     group.found();
     group.client().roll(&bundle(1, None, "")).expect("accepted");
-    drop(silent);
+    drop(idle);
 }
--- a/crates/control/tests/ownership.rs
+++ b/crates/control/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! A control group with back ends that speak the contract, over loopback.
+//! A control group with back ends that implement the back-end API, over loopback.
 
 mod support;
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn shards_are_held_kept_through_a_change_of_leader_and_moved_by_a_drain() {
+fn shards_stay_through_a_change_of_leader_and_move_on_a_drain() {
     let back_ends: Vec<(ServerName, BackEnd)> = ["one", "two", "three"].map(back_end).into();
     let mut group = LoopbackGroup::start(3);
     group.found();
@@ -53,7 +53,7 @@
     group.stop(leader);
     group.wait_for_leader("every shard is held under the new leader", all_held);
     let after = owners(&client.table().expect("a table"));
-    assert_eq!(before, after, "a change of leader moves nothing");
+    assert_eq!(before, after, "a change of leader must not move shards");
 
     let (name, _) = &back_ends[0];
     client.drain(name, true).expect("the drain is committed");
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn back_ends_that_never_answer_delay_no_other() {
+fn unresponsive_back_ends_do_not_delay_others() {
     let (name, live) = back_end("live");
-    let mute: Vec<TcpListener> = (0..20)
+    let silent: Vec<TcpListener> = (0..20)
         .map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"))
         .collect();
-    let mute_names: Vec<String> = (0..mute.len()).map(|n| format!("mute-{n}")).collect();
+    let silent_names: Vec<String> = (0..silent.len()).map(|n| format!("mute-{n}")).collect();
     let mut servers = vec![(name.as_str(), live.address())];
-    for (name, listener) in mute_names.iter().zip(&mute) {
+    for (name, listener) in silent_names.iter().zip(&silent) {
         servers.push((name, listener.local_addr().expect("its address")));
     }
     let group = LoopbackGroup::start(1);
--- a/crates/control/tests/process.rs
+++ b/crates/control/tests/process.rs
@@ -1,4 +1,4 @@
-//! The daemon's process: its exit codes and what it prints.
+//! Exit codes and error output of the daemon.
 
 mod support;
 
@@ -15,7 +15,7 @@
          router_address = \"{own}:7002\"\nadmin_address = \"{own}:7003\"\npeers = []\n\
          required_signatures = 1\n{extra}\n[[operators]]\nname = \"rosa\"\npublic_key = \"{}\"\n",
         folder.join("data").display(),
-        // The public half of the key of 32 bytes of 7.
+        // Public key of the signing key made of 32 bytes of value 7.
         "ea4a6c63e29c520abef5507b132ec5f9954776aebebe7b92421eea691446d22c",
     );
     let path = folder.join("control.toml");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn refused_settings_exit_with_2() {
+fn invalid_settings_exit_with_2() {
     let folder = tempfile::tempdir().expect("a folder");
     let unknown = settings(folder.path(), "colour = \"red\"");
     let output = run(&unknown, &[]);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn checked_settings_exit_with_0_and_start_nothing() {
+fn check_settings_exits_with_0_and_starts_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let good = settings(folder.path(), "");
     let output = run(&good, &["--check-settings"]);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_damaged_folder_exits_with_3_and_says_what_to_do() {
+fn damaged_data_exits_with_3_and_names_the_remedy() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = settings(folder.path(), "");
     let data = folder.path().join("data");
--- a/crates/control/tests/support/address.rs
+++ b/crates/control/tests/support/address.rs
@@ -1,9 +1,9 @@
-//! Addresses that no other test takes.
+//! Loopback addresses that are unique to a test.
 
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// A loopback address that no other test on this machine uses, so that its ports are free and stay so
+/// A loopback address that other tests on this host don't use, so that its ports are free and remain free
 /// while a replica is stopped.
 pub fn own_address() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
--- a/crates/control/tests/support/bundles.rs
+++ b/crates/control/tests/support/bundles.rs
@@ -6,7 +6,7 @@
 use grebepin_schema::{Bundle, Digest, OperatorName, SignedBundle, TrustedOperator};
 use serde_json::{json, Value};
 
-/// Operator who signs every bundle of these tests.
+/// The operator that signs all test bundles.
 pub fn operator() -> TrustedOperator {
     TrustedOperator {
         name: operator_name(),
@@ -22,7 +22,7 @@
     SigningKey::from_bytes(&[7; 32])
 }
 
-/// A bundle of one service with four shards; `note` makes bundles of one version differ.
+/// A bundle of one service with four shards. `note` distinguishes bundles of the same version.
 pub fn bundle(version: u64, parent: Option<Digest>, note: &str) -> SignedBundle {
     let address = "127.0.0.1:9001".parse().expect("an address");
     let servers = [("ledger-1", address)];
@@ -33,7 +33,7 @@
     signed(bundle)
 }
 
-/// A first bundle of one service with these servers.
+/// A bundle of version 1 of one service with these servers.
 pub fn bundle_of(shards: u32, servers: &[(&str, SocketAddr)]) -> SignedBundle {
     signed(unsigned(shards, servers))
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Digest of a bundle, for the next one's parent.
+/// Digest of a bundle, for the `parent` field of the next one.
 pub fn digest_of(signed: &SignedBundle) -> Digest {
     digest(&signed.bundle)
 }
--- a/crates/control/tests/support/group.rs
+++ b/crates/control/tests/support/group.rs
@@ -1,4 +1,4 @@
-//! Replicas as threads of the test process, over loopback.
+//! A control group of daemons in the test process, over loopback.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
@@ -11,11 +11,11 @@
 use super::address::own_address;
 use super::bundles;
 
-/// Longest wait for what must happen in the end; no verdict depends on how soon it does.
+/// Timeout for conditions that must become true eventually; no test checks how soon they do.
 pub const PATIENCE: Duration = Duration::from_secs(40);
 
-/// Longest wait for one answer, below the time that a silent connection may take.
-const ANSWER_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of one request, shorter than the timeout of an idle connection.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Replicas that can be stopped and started again at the same addresses.
 pub struct LoopbackGroup {
@@ -25,7 +25,7 @@
 }
 
 impl LoopbackGroup {
-    /// Starts replicas with empty folders.
+    /// Starts replicas with empty data directories; the group isn't founded yet.
     pub fn start(replicas: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let own = own_address();
@@ -64,7 +64,7 @@
     pub fn client(&self) -> AdminClient {
         let addresses = self.settings.iter().map(|settings| settings.admin_address);
         let options = ClientOptions {
-            timeout: ANSWER_LIMIT,
+            timeout: REQUEST_TIMEOUT,
             patience: PATIENCE,
         };
         AdminClient::new(addresses.collect(), options)
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Stops a replica as SIGTERM does.
+    /// Stops a replica gracefully, as SIGTERM does.
     pub fn stop(&mut self, replica: usize) {
         let running = self.running[replica].take().expect("it runs");
         running.stop().expect("it stops without a failure");
@@ -114,7 +114,7 @@
         std::fs::remove_dir_all(&self.settings[replica].data_dir).expect("the folder is there");
     }
 
-    /// Waits until a running replica's status, as the leader sees it, is as wanted.
+    /// Waits until the leader's status satisfies `wanted`; returns the leader and its status.
     pub fn wait_for_leader(&self, what: &str, wanted: impl Fn(&Status) -> bool) -> (usize, Status) {
         let client = self.client();
         let started = Instant::now();
@@ -127,7 +127,10 @@
                     return (replica, status);
                 }
             }
-            assert!(started.elapsed() < PATIENCE, "never: {what}");
+            assert!(
+                started.elapsed() < PATIENCE,
+                "timed out waiting for: {what}"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -165,7 +168,7 @@
         required_signatures: 1,
         group: GroupId(0),
         platform_address: None,
-        // Long enough that a busy machine costs no lease during a change of leader.
+        // Long enough that no lease expires during a change of leader on a busy machine.
         timing: ControlTiming {
             server_lease: Duration::from_secs(30),
             ..ControlTiming::default()
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A control group of pure nodes on a virtual clock and a network that can be cut.
+//! A control group of nodes on a virtual clock, simulated disks and a simulated network with partitions.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 pub mod address;
 pub mod bundles;
@@ -19,11 +19,11 @@
 };
 use grebepin_storage::{Crash, SimulatedDisk};
 
-/// Step of the virtual clock, and the delay of every frame.
+/// Step of the virtual clock; also the delivery delay of every frame.
 pub const STEP: Duration = Duration::from_millis(5);
 
-/// Time in which a group with a majority must have elected a leader and caught up.
-pub const SETTLE: Duration = Duration::from_secs(4);
+/// Time within which a group with a majority must elect a leader and catch up.
+pub const SETTLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 type Node = ControlNode<SimulatedDisk>;
 
@@ -39,6 +39,7 @@
     pub now: Duration,
     pub timing: ControlTiming,
     pub machines: Vec<Machine>,
+    /// Machines disconnected from the network.
     pub cut: BTreeSet<usize>,
     pub frames: BTreeMap<ConnectionId, Vec<ControlFrame>>,
     network: VecDeque<(usize, usize, PeerFrame)>,
@@ -54,7 +55,7 @@
 }
 
 impl Cluster {
-    /// Machines with empty folders, not founded.
+    /// Machines with empty disks; the group isn't founded.
     pub fn new(machines: usize) -> Self {
         Self::with_timing(machines, ControlTiming::default())
     }
@@ -79,7 +80,7 @@
             });
         }
         for machine in 0..machines {
-            cluster.start(machine).expect("an empty folder opens");
+            cluster.start(machine).expect("an empty disk opens");
         }
         cluster
     }
@@ -119,14 +120,14 @@
         Ok(())
     }
 
-    /// The machine loses power.
+    /// Simulates a power failure: unsynced writes are lost.
     pub fn kill(&mut self, machine: usize) {
         self.machines[machine].node = None;
         self.machines[machine].disk.crash(Crash::LoseUnsynced);
         self.pending.remove(&machine);
     }
 
-    /// The machine loses power and its disk.
+    /// Simulates a power failure with the loss of the disk.
     pub fn lose_disk(&mut self, machine: usize) {
         self.machines[machine].node = None;
         self.machines[machine].disk.wipe();
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Runs the group for a time.
+    /// Runs the group for `time` on the virtual clock.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -166,16 +167,16 @@
         }
     }
 
-    /// Runs until `done`, within [`SETTLE`].
+    /// Runs until `done`, within [`SETTLE_TIMEOUT`].
     pub fn run_until(&mut self, what: &str, done: impl Fn(&Self) -> bool) {
-        let end = self.now + SETTLE;
+        let end = self.now + SETTLE_TIMEOUT;
         while !done(self) {
-            assert!(self.now < end, "not within {SETTLE:?}: {what}");
+            assert!(self.now < end, "not within {SETTLE_TIMEOUT:?}: {what}");
             self.step();
         }
     }
 
-    /// Runs until one machine that can be reached leads, and every running one has applied the same.
+    /// Runs until one reachable machine leads and all reachable machines have the same commit index.
     pub fn settle(&mut self) {
         self.run_until("a leader, and all applied", |cluster| {
             let Some(leader) = cluster.leader() else {
@@ -194,7 +195,7 @@
             .collect()
     }
 
-    /// The reachable machine that leads and serves, if there is just one.
+    /// The serving leader among the reachable machines, if there is exactly one.
     pub fn leader(&self) -> Option<usize> {
         let serving = self.reachable().into_iter();
         let mut serving = serving.filter(|machine| self.node(*machine).is_serving());
@@ -206,7 +207,7 @@
         self.leader().expect("a leader")
     }
 
-    /// One step of the clock: frames sent in the step before arrive.
+    /// Advances the clock by one step and delivers the frames sent in the previous step.
     pub fn step(&mut self) {
         self.now += STEP;
         for (from, to, frame) in std::mem::take(&mut self.network) {
@@ -218,7 +219,7 @@
             }
         }
         for machine in 0..self.machines.len() {
-            self.turn(machine);
+            self.step_machine(machine);
         }
     }
 
@@ -226,7 +227,7 @@
         self.pending.entry(machine).or_default().push(input);
     }
 
-    fn turn(&mut self, machine: usize) {
+    fn step_machine(&mut self, machine: usize) {
         let mut inputs = self.pending.remove(&machine).unwrap_or_default();
         let Some(node) = &mut self.machines[machine].node else {
             return;
@@ -236,11 +237,11 @@
         }
         inputs.push(NodeInput::Tick);
         for output in node.handle(self.now, inputs) {
-            self.carry_out(machine, output);
+            self.execute(machine, output);
         }
     }
 
-    fn carry_out(&mut self, machine: usize, output: NodeOutput) {
+    fn execute(&mut self, machine: usize, output: NodeOutput) {
         match output {
             NodeOutput::Peer { address, frame } => {
                 let port = address
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Hands in a request; its answer comes with [`Cluster::take_answer`].
+    /// Sends a request without waiting; its answer is read with [`Cluster::take_answer`].
     pub fn begin(&mut self, machine: usize, request: AdminRequest) -> ReplyId {
         let reply = ReplyId(self.next_reply);
         self.next_reply += 1;
@@ -278,7 +279,7 @@
         self.answers.remove(&reply)
     }
 
-    /// Asks and waits for the answer.
+    /// Sends a request and waits for its answer.
     pub fn ask(&mut self, machine: usize, request: AdminRequest) -> Result<AdminAnswer, ApiError> {
         let reply = self.begin(machine, request);
         self.run_until("an answer", |cluster| cluster.answers.contains_key(&reply));
@@ -304,7 +305,7 @@
     }
 }
 
-/// The kind of an error, to compare with.
+/// The error kind of a failed request; none for a success.
 pub fn kind(answer: &Result<AdminAnswer, ApiError>) -> Option<ApiErrorKind> {
     answer.as_ref().err().map(|error| error.kind)
 }
--- a/crates/control/tests/tolerance.rs
+++ b/crates/control/tests/tolerance.rs
@@ -1,11 +1,12 @@
-//! Losses that `status` says are tolerated.
+//! Tolerated losses, as reported by `status`.
 
 use std::collections::BTreeSet;
 
 use grebepin_control::tolerated_losses;
 use grebepin_schema::{Member, MemberRole, Membership, ReplicaId};
 
-/// Zones of the voters, numbers of the silent ones, and what may be lost then.
+/// Zone of each voter, indices of failed voters, and the expected number of replicas and the zones that may
+/// be lost.
 type Case = (&'static str, &'static [u64], u32, &'static str);
 
 const CASES: &[Case] = &[
@@ -36,25 +37,25 @@
 }
 
 #[test]
-fn tolerated_losses_by_voters_zones_and_silence() {
-    for (zones, silent, replicas, expected) in CASES {
+fn tolerated_losses_by_voters_zones_and_failures() {
+    for (zones, failed, replicas, expected) in CASES {
         let numbered = (0..).zip(zones.chars());
         let mut members: Vec<Member> = numbered
             .map(|(replica, zone)| member(replica, zone, MemberRole::Voter))
             .collect();
-        // A learner counts for nothing, heard or not.
+        // Learners don't count, alive or not.
         members.push(member(99, 'z', MemberRole::Learner));
         let alive: BTreeSet<ReplicaId> = members
             .iter()
             .map(|member| member.replica)
-            .filter(|replica| !silent.contains(&replica.0))
+            .filter(|replica| !failed.contains(&replica.0))
             .collect();
         let losses = tolerated_losses(&Membership { members }, &alive);
         let found: String = losses.zones.iter().map(|zone| zone.as_str()).collect();
         assert_eq!(
             (losses.replicas, found.as_str()),
             (*replicas, *expected),
-            "{zones} without {silent:?}"
+            "{zones} without {failed:?}"
         );
     }
 }
