--- a/crates/control/src/daemon/control_thread.rs
+++ b/crates/control/src/daemon/control_thread.rs
@@ -1,7 +1,8 @@
 //! The thread that owns the replica's state.
 //!
 //! Invariant: while it handles inputs, it blocks only on disk I/O. Messages to replicas, routers, back ends
-//! and operators are queued for other threads, or dropped if the queue is full.
+//! and operators are queued for other threads; if a queue is full, the frame is dropped, the router is
+//! disconnected or the call fails.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/control/src/daemon/peer_connections.rs
+++ b/crates/control/src/daemon/peer_connections.rs
@@ -25,7 +25,7 @@
 /// Maximum concurrent incoming connections.
 const CONNECTION_LIMIT: usize = 256;
 
-/// Minimum delay between two connection attempts; frames are dropped meanwhile.
+/// Delay after a failed connection attempt; frames are dropped meanwhile.
 const RECONNECT_DELAY: Duration = Duration::from_millis(30);
 
 /// Starts to accept connections of other replicas.
--- a/crates/control/src/node/input.rs
+++ b/crates/control/src/node/input.rs
@@ -67,7 +67,7 @@
     Release(ReleaseAnswer),
     /// The shards that the back end holds.
     Holdings(HoldingsAnswer),
-    /// The drain request was accepted; it has no body.
+    /// The drain request was accepted; the body of the answer is ignored.
     Drain,
 }
 
