--- a/crates/gateway/src/stated_rate.rs
+++ b/crates/gateway/src/stated_rate.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use grebepin_catalog::InstanceId;
-use grebepin_grants::{LEAST_STATED_RATE, STATED_RATE_USED};
+use grebepin_grants::{MIN_STATED_RATE, STATED_RATE_FRACTION};
 
 use crate::rate_turns::{RateTurns, TurnTiming};
 use crate::statement::RateStatement;
@@ -137,7 +137,7 @@
     /// `None` if it states none.
     pub fn capacity_after(&self, id: &InstanceId) -> Option<Duration> {
         let rate = self.rate(id)?;
-        Some(Duration::from_secs_f64(1.0 / rate.max(LEAST_STATED_RATE)))
+        Some(Duration::from_secs_f64(1.0 / rate.max(MIN_STATED_RATE)))
     }
 
     /// Number of servers that state a rate.
@@ -165,7 +165,7 @@
 /// Turns of one of `gateways` that share a stated rate. Their length is the largest with which a sudden load
 /// at every gateway still keeps to the bound on the requests in a window.
 fn turn_timing(rate: f64, gateways: u32) -> TurnTiming {
-    let used = rate.max(LEAST_STATED_RATE) * STATED_RATE_USED;
+    let used = rate.max(MIN_STATED_RATE) * STATED_RATE_FRACTION;
     let allowed = rate * WINDOW_FACTOR * WINDOW.as_secs_f64() + WINDOW_SLACK;
     let seconds =
         open_with_few_gateways(used, allowed, gateways).max(open_with_many_gateways(used, allowed));
