--- a/crates/sim/src/actors.rs
+++ b/crates/sim/src/actors.rs
@@ -1,4 +1,4 @@
-//! The processes and actors of a run, each without clock or network of its own.
+//! State machines of the simulated processes and actors; they use neither clocks nor the network directly.
 
 pub mod callers;
 pub mod operators;
--- a/crates/sim/src/actors/callers.rs
+++ b/crates/sim/src/actors/callers.rs
@@ -1,6 +1,6 @@
-//! Callers: an open loop of requests, sent again by the rules of the outcomes.
+//! Callers: open-loop load with resends that depend on the outcome.
 //!
-//! Invariant: a caller sends a request again with the same identifier and a higher attempt.
+//! Invariant: a resend carries the same request identifier and a higher attempt number.
 
 use std::collections::BTreeMap;
 
@@ -13,52 +13,52 @@
 use crate::process::Process;
 use crate::random::Random;
 
-/// Keys in use.
+/// Number of distinct keys.
 const KEYS: u64 = 24;
 
-/// Time between two new requests in microseconds.
+/// Time between two new requests, in microseconds.
 const INTERVAL: [u64; 2] = [10 * MILLISECOND, 50 * MILLISECOND];
 
-/// Time to a request's deadline.
+/// Time from sending an attempt to its deadline.
 const DEADLINE: Instant = SECOND;
 
-/// Time after the deadline at which a caller gives up.
-const GIVE_UP: Instant = DEADLINE + 100 * MILLISECOND;
+/// Time after which a caller stops waiting for an attempt: its deadline and a margin.
+const CALLER_TIMEOUT: Instant = DEADLINE + 100 * MILLISECOND;
 
-/// Pause before a request is sent again in microseconds.
-const RESEND_PAUSE: [u64; 2] = [20 * MILLISECOND, 1_800 * MILLISECOND];
+/// Delay before a resend, in microseconds.
+const RESEND_DELAY: [u64; 2] = [20 * MILLISECOND, 1_800 * MILLISECOND];
 
-/// Attempts of one request.
+/// Maximum number of attempts per request.
 const ATTEMPTS: u32 = 4;
 
-/// Stretch before the end in which requests must be answered again.
-const LAST_STRETCH: Instant = 3 * SECOND;
+/// Time before the last new request in which requests must be answered again.
+const FINAL_PERIOD: Instant = 3 * SECOND;
 
-/// Requests sent again after they were called not run, in percent.
-const AGAIN_PERCENT: u64 = 20;
+/// Percentage of requests that are resent after the outcome `NotRun`.
+const NOT_RUN_RESEND_PERCENT: u64 = 20;
 
-/// What the shell is to do.
+/// Output to be carried out by the simulator.
 #[derive(Debug)]
 pub enum CallerEffect {
-    /// Ask a router.
-    Ask {
+    /// Send a request to a router.
+    Send {
         /// The router.
         router: usize,
         /// The request.
         request: CallerRequest,
     },
-    /// Wake up.
+    /// Set a timer.
     Timer {
-        /// When.
+        /// Time at which it fires.
         at: Instant,
-        /// What then.
+        /// Input delivered then.
         input: CallerInput,
     },
-    /// Something for the history.
+    /// Append an event to the history.
     Record(HistoryEvent),
 }
 
-struct Open {
+struct OpenRequest {
     key: String,
     repeatable: bool,
     attempt: u32,
@@ -70,52 +70,51 @@
 /// All callers.
 pub struct Callers {
     random: Random,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, OpenRequest>,
     next: u64,
-    until: Instant,
-    /// Requests begun in the last stretch and those of them answered, by shard.
-    last: BTreeMap<ShardId, (u64, u64)>,
+    last_start: Instant,
+    /// Requests started in the final period and those of them answered, by shard.
+    final_requests: BTreeMap<ShardId, (u64, u64)>,
 }
 
 impl Callers {
-    /// Callers that begin no request after `until`.
-    pub fn new(random: Random, until: Instant) -> Self {
+    /// Callers that start no new request from `last_start` on.
+    pub fn new(random: Random, last_start: Instant) -> Self {
         Self {
             random,
             open: BTreeMap::new(),
             next: 0,
-            until,
-            last: BTreeMap::new(),
+            last_start,
+            final_requests: BTreeMap::new(),
         }
     }
 
-    /// Takes what reached the callers; returns what to do.
+    /// Processes an input and returns the resulting effects.
     pub fn handle(&mut self, now: Instant, input: CallerInput) -> Vec<CallerEffect> {
         match input {
             CallerInput::Next => self.next(now),
             CallerInput::Answer(answer) => self.answered(now, answer),
-            CallerInput::Timeout { request, attempt } => self.give_up(now, &request, attempt),
+            CallerInput::Timeout { request, attempt } => self.time_out(now, &request, attempt),
             CallerInput::Resend(request) => self.send(now, &request),
         }
     }
 
-    /// Requests begun in the last stretch, and those of them whose first attempt was answered, by
-    /// shard.
-    pub fn last_requests(&self) -> &BTreeMap<ShardId, (u64, u64)> {
-        &self.last
+    /// Number of requests started in the final period, and of those whose first attempt was answered, by shard.
+    pub fn final_requests(&self) -> &BTreeMap<ShardId, (u64, u64)> {
+        &self.final_requests
     }
 
-    fn is_last(&self, begun: Instant) -> bool {
-        begun + LAST_STRETCH >= self.until
+    fn is_in_final_period(&self, begun: Instant) -> bool {
+        begun + FINAL_PERIOD >= self.last_start
     }
 
     fn next(&mut self, now: Instant) -> Vec<CallerEffect> {
-        if now >= self.until {
+        if now >= self.last_start {
             return Vec::new();
         }
         self.next += 1;
         let request: RequestId = name(&format!("r{}", self.next));
-        let open = Open {
+        let open = OpenRequest {
             key: format!("key-{}", self.random.between(1, KEYS)),
             repeatable: self.random.chance(40),
             attempt: 0,
@@ -125,8 +124,8 @@
         };
         let shard = shard_of_key(&open.key, SHARDS);
         self.open.insert(request.clone(), open);
-        if self.is_last(now) {
-            self.last.entry(shard).or_default().0 += 1;
+        if self.is_in_final_period(now) {
+            self.final_requests.entry(shard).or_default().0 += 1;
         }
         let mut effects = self.send(now, &request);
         effects.push(CallerEffect::Timer {
@@ -157,7 +156,7 @@
                 repeatable: open.repeatable,
                 router: Process::Router(open.router).name(),
             })),
-            CallerEffect::Ask {
+            CallerEffect::Send {
                 router: open.router,
                 request: CallerRequest {
                     request: request.clone(),
@@ -168,7 +167,7 @@
                 },
             },
             CallerEffect::Timer {
-                at: now + GIVE_UP,
+                at: now + CALLER_TIMEOUT,
                 input: CallerInput::Timeout {
                     request: request.clone(),
                     attempt: open.attempt,
@@ -181,10 +180,10 @@
         let request = answer.request.clone();
         let outcome = Some(answer.outcome);
         let whole = (answer.outcome == Outcome::Answered).then_some(true);
-        let again = match answer.outcome {
+        let resend = match answer.outcome {
             Outcome::Answered => false,
             Outcome::Unknown => true,
-            Outcome::NotRun => self.random.chance(AGAIN_PERCENT),
+            Outcome::NotRun => self.random.chance(NOT_RUN_RESEND_PERCENT),
         };
         let attempt = answer.attempt;
         self.finish(
@@ -192,11 +191,11 @@
             &request,
             attempt,
             (outcome, answer.answer_for, whole),
-            again,
+            resend,
         )
     }
 
-    fn give_up(&mut self, now: Instant, request: &RequestId, attempt: u32) -> Vec<CallerEffect> {
+    fn time_out(&mut self, now: Instant, request: &RequestId, attempt: u32) -> Vec<CallerEffect> {
         self.finish(now, request, attempt, (None, None, None), true)
     }
 
@@ -206,7 +205,7 @@
         request: &RequestId,
         attempt: u32,
         answer: (Option<Outcome>, Option<RequestId>, Option<bool>),
-        again: bool,
+        resend: bool,
     ) -> Vec<CallerEffect> {
         let current = self
             .open
@@ -219,8 +218,8 @@
         let intended = open.intended;
         let shard = shard_of_key(&open.key, SHARDS);
         let answered = attempt == 1 && answer.0 == Some(Outcome::Answered);
-        if answered && self.is_last(intended) {
-            self.last.entry(shard).or_default().1 += 1;
+        if answered && self.is_in_final_period(intended) {
+            self.final_requests.entry(shard).or_default().1 += 1;
         }
         let (outcome, answer_for, whole) = answer;
         let mut effects = vec![CallerEffect::Record(HistoryEvent::Finished(CallerAnswer {
@@ -231,9 +230,9 @@
             answer_for,
             whole,
         }))];
-        if again && attempt < ATTEMPTS {
+        if resend && attempt < ATTEMPTS {
             effects.push(CallerEffect::Timer {
-                at: now + self.random.range(RESEND_PAUSE),
+                at: now + self.random.range(RESEND_DELAY),
                 input: CallerInput::Resend(request.clone()),
             });
         } else {
--- a/crates/sim/src/actors/operators.rs
+++ b/crates/sim/src/actors/operators.rs
@@ -1,7 +1,6 @@
-//! Operators: they found the group, roll bundles and drain servers, and send a request again until
-//! its answer comes.
+//! Operators: found the group, roll bundles and drain servers, and retry each request until it is answered.
 //!
-//! Invariant: a resend is the very same request.
+//! Invariant: a retry sends an identical request.
 
 use grebepin_control::{AdminAnswer, AdminRequest};
 use grebepin_schema::{
@@ -13,43 +12,43 @@
 use crate::message::OperatorInput;
 use crate::process::Process;
 
-/// Time after which an operator asks another replica.
-const PATIENCE: Instant = 700 * MILLISECOND;
+/// Time without a reply after which an operator sends the request to the next replica.
+const REPLY_TIMEOUT: Instant = 700 * MILLISECOND;
 
-/// Pause after an answer that says to try again.
-const PAUSE: Instant = 100 * MILLISECOND;
+/// Delay before a retry after a retryable error.
+const RETRY_DELAY: Instant = 100 * MILLISECOND;
 
-/// What an operator wants.
+/// An action requested by an operator.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
-    /// Found the group at one replica.
+pub enum OperatorAction {
+    /// Found the group through one replica.
     Found {
         /// The replica.
         control: usize,
         /// The founding members.
         members: Vec<Member>,
     },
-    /// Roll a bundle that follows the latest one the operators know.
+    /// Submit a bundle whose parent is the latest one known to the operators.
     Roll {
-        /// Share of the new side in percent.
+        /// Share of the new side, in percent.
         new_share: u32,
-        /// Tells bundles of the same version apart.
+        /// Distinguishes bundles of the same version.
         note: String,
     },
-    /// Drain a server, or bring it back.
+    /// Start or end the drain of a server.
     Drain {
         /// The server.
         server: usize,
-        /// Whether it is to leave.
+        /// Whether the drain is started; false ends it.
         draining: bool,
     },
 }
 
-/// What the shell is to do.
+/// Output to be carried out by the simulator.
 #[derive(Debug)]
 pub enum OperatorEffect {
-    /// Ask a control replica.
-    Ask {
+    /// Send a request to a control replica.
+    Send {
         /// The job.
         job: usize,
         /// Number of the try.
@@ -59,21 +58,21 @@
         /// The request.
         request: AdminRequest,
     },
-    /// Wake up.
+    /// Set a timer.
     Timer {
-        /// When.
+        /// Time at which it fires.
         at: Instant,
-        /// What then.
+        /// Input delivered then.
         input: OperatorInput,
     },
 }
 
 struct Job {
-    wish: Wish,
+    action: OperatorAction,
     signed: Option<SignedBundle>,
     after: Option<usize>,
     target: usize,
-    /// Replica asked last.
+    /// Replica that the last request was sent to.
     asked: usize,
     try_number: u32,
     done: bool,
@@ -84,30 +83,40 @@
 pub struct Operators {
     jobs: Vec<Job>,
     known: Option<(u64, Digest)>,
-    /// Replica that answered last, which most likely leads.
+    /// Replica that last answered successfully, most likely the leader.
     leader: Option<usize>,
 }
 
 impl Operators {
-    /// A job that an operator begins at the replica `target`; `at` is when. Returns its number.
-    pub fn add(&mut self, wish: Wish, target: usize, at: Instant) -> (usize, OperatorEffect) {
-        self.push(wish, None, target, at)
+    /// Adds a job that starts at the time `at` with the replica `target`; returns its number and timer.
+    pub fn add(
+        &mut self,
+        action: OperatorAction,
+        target: usize,
+        at: Instant,
+    ) -> (usize, OperatorEffect) {
+        self.push(action, None, target, at)
     }
 
-    /// A job that waits until the job `after` is done.
-    pub fn add_after(&mut self, wish: Wish, after: usize, at: Instant) -> (usize, OperatorEffect) {
-        self.push(wish, Some(after), after % deployment::CONTROLS, at)
+    /// Adds a job that waits until the job `after` is done.
+    pub fn add_after(
+        &mut self,
+        action: OperatorAction,
+        after: usize,
+        at: Instant,
+    ) -> (usize, OperatorEffect) {
+        self.push(action, Some(after), after % deployment::CONTROLS, at)
     }
 
     fn push(
         &mut self,
-        wish: Wish,
+        action: OperatorAction,
         after: Option<usize>,
         target: usize,
         at: Instant,
     ) -> (usize, OperatorEffect) {
         self.jobs.push(Job {
-            wish,
+            action,
             signed: None,
             after,
             target,
@@ -119,32 +128,32 @@
         (job, retry(at, job, 0))
     }
 
-    /// What a job wants.
-    pub fn wish(&self, job: usize) -> Option<&Wish> {
-        self.jobs.get(job).map(|job| &job.wish)
+    /// Action of a job.
+    pub fn action(&self, job: usize) -> Option<&OperatorAction> {
+        self.jobs.get(job).map(|job| &job.action)
     }
 
-    /// Whether an operator asked for the end of a server's drain and has no answer yet.
-    pub fn asks_to_stay(&self, server: usize) -> bool {
-        let wish = Wish::Drain {
+    /// Whether a request to end the drain of a server was sent and is not answered yet.
+    pub fn has_pending_drain_end(&self, server: usize) -> bool {
+        let action = OperatorAction::Drain {
             server,
             draining: false,
         };
         let mut jobs = self.jobs.iter();
-        jobs.any(|job| !job.done && job.try_number > 0 && job.wish == wish)
+        jobs.any(|job| !job.done && job.try_number > 0 && job.action == action)
     }
 
-    /// Whether a job is done.
+    /// Whether a job is done: answered, or failed with a final error.
     pub fn is_done(&self, job: usize) -> bool {
         self.jobs.get(job).is_some_and(|job| job.done)
     }
 
-    /// Jobs that are not done.
+    /// Number of jobs that are not done.
     pub fn unfinished(&self) -> usize {
         self.jobs.iter().filter(|job| !job.done).count()
     }
 
-    /// Takes what reached the operators; returns what to do.
+    /// Processes an input and returns the resulting effects.
     pub fn handle(&mut self, now: Instant, input: OperatorInput) -> Vec<OperatorEffect> {
         match input {
             OperatorInput::Try { job, try_number } => self.try_again(now, job, try_number),
@@ -152,7 +161,7 @@
                 job,
                 try_number,
                 result,
-            } => self.take_reply(now, job, try_number, result),
+            } => self.handle_reply(now, job, try_number, result),
             OperatorInput::WatchLeaving(_) => Vec::new(),
         }
     }
@@ -164,7 +173,7 @@
 
     fn try_again(&mut self, now: Instant, number: usize, try_number: u32) -> Vec<OperatorEffect> {
         if self.must_wait(number) {
-            return vec![retry(now + PAUSE / 10, number, try_number)];
+            return vec![retry(now + RETRY_DELAY / 10, number, try_number)];
         }
         let known = self.known.clone();
         let Some(job) = self.jobs.get_mut(number) else {
@@ -173,25 +182,27 @@
         if job.done || job.try_number != try_number {
             return Vec::new();
         }
-        let request = match &job.wish {
-            Wish::Found { members, .. } => AdminRequest::Found(FoundRequest {
+        let request = match &job.action {
+            OperatorAction::Found { members, .. } => AdminRequest::Found(FoundRequest {
                 cluster: deployment::cluster(),
                 members: members.clone(),
             }),
-            Wish::Drain { server, draining } => AdminRequest::Drain(DrainServerRequest {
+            OperatorAction::Drain { server, draining } => AdminRequest::Drain(DrainServerRequest {
                 server: server_name(*server),
                 draining: *draining,
             }),
-            Wish::Roll { new_share, note } => {
+            OperatorAction::Roll { new_share, note } => {
                 let signed = job
                     .signed
                     .get_or_insert_with(|| next_bundle(known, *new_share, note));
                 AdminRequest::SubmitBundle(Box::new(signed.clone()))
             }
         };
-        let control = match job.wish {
-            Wish::Found { control, .. } => control,
-            Wish::Drain { .. } if job.try_number == 0 => self.leader.unwrap_or(job.target),
+        let control = match job.action {
+            OperatorAction::Found { control, .. } => control,
+            OperatorAction::Drain { .. } if job.try_number == 0 => {
+                self.leader.unwrap_or(job.target)
+            }
             _ => job.target,
         };
         job.try_number += 1;
@@ -199,17 +210,17 @@
         job.target = (control + 1) % deployment::CONTROLS;
         let try_number = job.try_number;
         vec![
-            OperatorEffect::Ask {
+            OperatorEffect::Send {
                 job: number,
                 try_number,
                 control,
                 request,
             },
-            retry(now + PATIENCE, number, try_number),
+            retry(now + REPLY_TIMEOUT, number, try_number),
         ]
     }
 
-    fn take_reply(
+    fn handle_reply(
         &mut self,
         now: Instant,
         number: usize,
@@ -231,7 +242,7 @@
                     }
                 }
                 job.done = true;
-                if !matches!(job.wish, Wish::Found { .. }) {
+                if !matches!(job.action, OperatorAction::Found { .. }) {
                     self.leader = Some(job.asked);
                 }
                 Vec::new()
@@ -248,10 +259,10 @@
             Err(_) if job.try_number != try_number => Vec::new(),
             Err(error) => {
                 let hint = error.leader_admin_address.as_ref();
-                let mut at = now + PAUSE;
+                let mut at = now + RETRY_DELAY;
                 if let Some(Process::Control(leader)) = hint.and_then(deployment::process_at) {
                     job.target = leader;
-                    at = now + PAUSE / 10;
+                    at = now + RETRY_DELAY / 10;
                 }
                 vec![retry(at, number, try_number)]
             }
@@ -274,7 +285,7 @@
     deployment::sign(deployment::bundle(version, parent, new_share, note))
 }
 
-/// Whether the request itself is wrong or too late, so that sending it again is of no use.
+/// Whether the request itself is invalid or outdated, so that a retry cannot succeed.
 fn is_final(kind: ApiErrorKind) -> bool {
     matches!(
         kind,
--- a/crates/sim/src/actors/router.rs
+++ b/crates/sim/src/actors/router.rs
@@ -1,6 +1,6 @@
 //! A router: the product's table, flows, admission and retry budget, driven by the simulator.
 //!
-//! Invariant: every decision about a request is the product's; this shell only carries it out.
+//! Invariant: every decision about a request is made by the product; this module only carries it out.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,44 +19,44 @@
 use super::router_link::Link;
 use crate::message::{RouterAnswer, RouterInput};
 
-/// Time between two looks at the link and the admission queues.
+/// Interval between checks of the connection to the control group and of the admission queues.
 const TICK: Duration = Duration::from_millis(50);
 
-/// What the shell is to do.
+/// Output to be carried out by the simulator.
 #[derive(Debug)]
 pub enum RouterEffect {
     /// Send a request to a server.
     Work {
-        /// Server.
+        /// Address of the server.
         address: SocketAddress,
-        /// Names the answer.
+        /// Identifies the response.
         exchange: u64,
         /// The request.
         request: Request,
     },
     /// Cancel a request at a server.
     Cancel {
-        /// Server.
+        /// Address of the server.
         address: SocketAddress,
-        /// Names the answer.
+        /// Identifies the response.
         exchange: u64,
         /// The request.
         request: CancelRequest,
-        /// Attempt that was sent.
+        /// Attempt to cancel.
         attempt: u32,
     },
-    /// Wake up with this input.
+    /// Set a timer.
     Timer {
-        /// When, on the router's clock.
+        /// Time at which it fires, on the router's clock.
         at: Duration,
-        /// What then.
+        /// Input delivered then.
         input: RouterInput,
     },
     /// Answer a caller.
     Answer(RouterAnswer),
     /// Open a connection to a control replica with this first frame.
     Connect {
-        /// Names the connection.
+        /// Identifies the connection.
         connection: u64,
         /// Router address of the replica.
         address: SocketAddress,
@@ -72,35 +72,35 @@
     },
     /// Close a connection.
     Close(u64),
-    /// A table is in force.
+    /// A new table took effect.
     InForce {
-        /// Its index.
+        /// Log index of the table.
         index: LogIndex,
         /// Version of its bundle.
         bundle_version: u64,
     },
 }
 
-/// What a router is told at its start.
+/// Configuration of a router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// Control group.
+    /// Control group to follow.
     pub group: GroupId,
-    /// Name.
+    /// Name of the router.
     pub name: RouterName,
-    /// Zone.
+    /// Zone of the router.
     pub zone: ZoneName,
-    /// Number of this start.
+    /// Incarnation of the router process.
     pub incarnation: u64,
     /// Router addresses of the control replicas.
     pub control_addresses: Vec<SocketAddress>,
     /// Guards of the product.
     pub guards: Guards,
-    /// Whether frames of connections that were given up on are still handed over.
+    /// Whether frames of closed connections are still processed.
     pub late_frames: bool,
 }
 
-/// A router and what it does now.
+/// State of a router process.
 pub struct RouterActor {
     pub(super) config: RouterConfig,
     pub(super) table: RoutingTable,
@@ -117,7 +117,7 @@
 }
 
 impl RouterActor {
-    /// A router that has just started.
+    /// A router without table, connection or requests.
     pub fn new(config: RouterConfig) -> Self {
         Self {
             table: RoutingTable::new(config.group, config.guards),
@@ -140,15 +140,15 @@
         self.table.index()
     }
 
-    /// Takes what reached the router; returns what to do.
+    /// Processes an input and returns the resulting effects.
     pub fn handle(&mut self, now: Duration, input: RouterInput) -> Vec<RouterEffect> {
         match input {
-            RouterInput::Asked(request) => self.begin_flow(now, request),
-            RouterInput::Frame { connection, frame } => self.take_frame(now, connection, frame),
+            RouterInput::Request(request) => self.begin_flow(now, request),
+            RouterInput::Frame { connection, frame } => self.handle_frame(now, connection, frame),
             RouterInput::Closed(connection) => self.connection_closed(now, connection),
-            RouterInput::Replied { exchange, reply } => self.take_reply(now, exchange, reply),
+            RouterInput::Replied { exchange, reply } => self.handle_reply(now, exchange, reply),
             RouterInput::Cancelled { exchange, answer } => {
-                self.take_cancelled(now, exchange, answer);
+                self.handle_cancelled(now, exchange, answer);
             }
             RouterInput::ExchangeTimeout(exchange) => self.exchange_timed_out(now, exchange),
             RouterInput::FlowWake(flow) => self.wake_flow(now, flow),
@@ -158,7 +158,7 @@
     }
 
     fn tick(&mut self, now: Duration) {
-        self.keep_link(now);
+        self.maintain_connection(now);
         let servers: Vec<ServerName> = self.admissions.keys().cloned().collect();
         for server in servers {
             let events = match self.admissions.get_mut(&server) {
@@ -173,7 +173,7 @@
         });
     }
 
-    /// Puts a control replica's frame in force.
+    /// Applies a snapshot or delta to the table; reconnects when it cannot be applied.
     pub(super) fn apply_frame(&mut self, now: Duration, frame: &ControlFrame) {
         let applied = match frame {
             ControlFrame::Snapshot(snapshot) => self.table.apply_snapshot(snapshot),
@@ -183,7 +183,7 @@
         match applied {
             Ok(ApplyOutcome::Applied) => self.table_changed(now),
             Ok(ApplyOutcome::Stale) => {}
-            Err(_) => self.ask_again(now),
+            Err(_) => self.reconnect(now),
         }
     }
 
--- a/crates/sim/src/actors/router_flows.rs
+++ b/crates/sim/src/actors/router_flows.rs
@@ -1,4 +1,4 @@
-//! Requests on their way through a router.
+//! Requests in progress at a router.
 
 use std::time::Duration;
 
@@ -17,21 +17,21 @@
 use crate::deployment::SERVICE;
 use crate::message::{CallerRequest, RouterAnswer, RouterInput, WorkReply};
 
-/// Sends of one request by one router.
+/// Maximum number of sends of one request by one router.
 const SENDS: u32 = 3;
 
-/// Time for which an owner that is leaving still gets requests; the product's bound.
+/// Time for which a draining owner still receives requests; defined by the product.
 const DRAIN_GRACE: Duration = grebepin_traffic::flow::DRAIN_GRACE;
 
-/// A request in a server's queue.
+/// Key of a request in a server's admission queue.
 pub(super) type Waiter = (ServerName, Ticket);
 
-/// One request on its way.
+/// One request in progress.
 pub(super) struct Flow {
     flow: RequestFlow,
     request: CallerRequest,
     deadline: Duration,
-    /// Index that the table must pass before the flow wakes up early.
+    /// Table index above which the flow is woken before its timer.
     waits_beyond: Option<LogIndex>,
 }
 
@@ -62,15 +62,15 @@
             waits_beyond: None,
         };
         self.flows.insert(number, entry);
-        self.act(now, number, action);
+        self.run_actions(now, number, action);
     }
 
-    /// Does what a flow wants until it waits for something.
-    fn act(&mut self, now: Duration, number: u64, first: FlowAction) {
+    /// Executes the actions of a flow until it waits for an input.
+    fn run_actions(&mut self, now: Duration, number: u64, first: FlowAction) {
         let mut action = first;
         loop {
             let input = match action {
-                FlowAction::Lookup => FlowInput::LookedUp(self.find(now, number)),
+                FlowAction::Lookup => FlowInput::LookedUp(self.look_up_owner(now, number)),
                 FlowAction::Admit(target) => match self.admit(now, number, &target) {
                     Some(input) => input,
                     None => return,
@@ -100,11 +100,11 @@
     fn step(&mut self, now: Duration, number: u64, input: FlowInput) {
         if let Some(flow) = self.flows.get_mut(&number) {
             let action = flow.flow.step(now, input);
-            self.act(now, number, action);
+            self.run_actions(now, number, action);
         }
     }
 
-    fn find(&self, now: Duration, number: u64) -> OwnerLookup {
+    fn look_up_owner(&self, now: Duration, number: u64) -> OwnerLookup {
         if !self.table.is_ready() {
             return OwnerLookup::NoTable;
         }
@@ -136,7 +136,7 @@
         })
     }
 
-    /// The input for the flow, or `None` while it waits in the server's queue.
+    /// Requests admission; returns the next input of the flow, or `None` while it waits in the server's queue.
     fn admit(&mut self, now: Duration, number: u64, target: &Target) -> Option<FlowInput> {
         let deadline = self.flows.get(&number)?.deadline;
         if let Verdict::FailFast { retry_after } = self.ejection.verdict(&target.server, now) {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Wakes the flows that waited for a table as new as the one in force.
+    /// Wakes the flows whose awaited table index has been passed.
     pub(super) fn wake_for_table(&mut self, now: Duration) {
         let index = self.table.index();
         let due = self
@@ -276,7 +276,7 @@
         }
     }
 
-    pub(super) fn take_reply(&mut self, now: Duration, exchange: u64, reply: WorkReply) {
+    pub(super) fn handle_reply(&mut self, now: Duration, exchange: u64, reply: WorkReply) {
         let Some(known) = self.exchanges.remove(&exchange) else {
             return;
         };
@@ -307,7 +307,7 @@
         self.step(now, known.flow, input);
     }
 
-    pub(super) fn take_cancelled(
+    pub(super) fn handle_cancelled(
         &mut self,
         now: Duration,
         exchange: u64,
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Notes what an exchange says of its server, and gives its slot to the next request.
+    /// Updates ejection and admission of the server with the result of an exchange, and releases its slot.
     fn end_exchange(&mut self, now: Duration, exchange: &Exchange, input: &FlowInput) {
         let server = &exchange.server;
         match input {
--- a/crates/sim/src/actors/router_link.rs
+++ b/crates/sim/src/actors/router_link.rs
@@ -1,6 +1,6 @@
 //! A router's connection to the control group.
 //!
-//! Invariant: at most one connection is the current one; silence on it ends it.
+//! Invariant: at most one connection is current; it is closed after [`IDLE_TIMEOUT`] without a frame.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 
 use super::router::{RouterActor, RouterConfig, RouterEffect};
 
-/// Silence after which a router gives a connection up.
-const SILENCE: Duration = Duration::from_millis(800);
+/// Time without a received frame after which a router closes a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time between two reports.
+/// Interval between two load reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause before the next attempt after one failed.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before reconnecting after a connection failed.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// The connection in use.
+/// The current connection.
 #[derive(Clone, Copy, Debug)]
 struct Open {
     connection: u64,
-    heard: Duration,
+    last_received: Duration,
 }
 
-/// Where the router connects, and since when it heard nothing.
+/// State of the connection to the control group.
 #[derive(Debug)]
 pub struct Link {
     open: Option<Open>,
@@ -35,7 +35,7 @@
 }
 
 impl Link {
-    /// No connection yet; routers begin with different replicas.
+    /// No connection yet. The first replica depends on the length of the name and the incarnation.
     pub(super) fn new(config: &RouterConfig) -> Self {
         Self {
             open: None,
@@ -58,13 +58,13 @@
 }
 
 impl RouterActor {
-    /// Gives a silent connection up, and connects where there is none.
-    pub(super) fn keep_link(&mut self, now: Duration) {
+    /// Reports on a live connection, closes an idle one, and connects when there is none.
+    pub(super) fn maintain_connection(&mut self, now: Duration) {
         if let Some(open) = self.link.open {
-            if now.saturating_sub(open.heard) < SILENCE {
+            if now.saturating_sub(open.last_received) < IDLE_TIMEOUT {
                 return self.report(now, open.connection);
             }
-            self.drop_link(now, now);
+            self.close_link(now, now);
         }
         if now < self.link.not_before {
             return;
@@ -75,7 +75,7 @@
         let connection = self.next_number();
         self.link.open = Some(Open {
             connection,
-            heard: now,
+            last_received: now,
         });
         self.effects.push(RouterEffect::Connect {
             connection,
@@ -90,7 +90,7 @@
         });
     }
 
-    fn drop_link(&mut self, now: Duration, not_before: Duration) {
+    fn close_link(&mut self, now: Duration, not_before: Duration) {
         if let Some(open) = self.link.open.take() {
             self.effects.push(RouterEffect::Close(open.connection));
         }
@@ -99,37 +99,36 @@
 
     pub(super) fn connection_closed(&mut self, now: Duration, connection: u64) {
         if self.is_current(connection) {
-            self.drop_link(now, now + PAUSE);
+            self.close_link(now, now + RECONNECT_DELAY);
         }
     }
 
-    /// Asks for a whole table on a new connection.
-    pub(super) fn ask_again(&mut self, now: Duration) {
-        self.drop_link(now, now);
+    /// Closes the connection, so that a new one is opened that follows from the index of the current table.
+    pub(super) fn reconnect(&mut self, now: Duration) {
+        self.close_link(now, now);
     }
 
-    pub(super) fn take_frame(&mut self, now: Duration, connection: u64, frame: ControlFrame) {
+    pub(super) fn handle_frame(&mut self, now: Duration, connection: u64, frame: ControlFrame) {
         let current = self.is_current(connection);
         if !current && !self.config.late_frames {
             return;
         }
         if current {
-            self.note_heard(now);
+            self.record_receipt(now);
         }
         if let (ControlFrame::Redirect(redirect), true) = (&frame, current) {
             self.link.hint = redirect.router_address.clone();
             let pause = match self.link.hint {
                 Some(_) => Duration::ZERO,
-                None => PAUSE,
+                None => RECONNECT_DELAY,
             };
-            self.drop_link(now, now + pause);
+            self.close_link(now, now + pause);
             return;
         }
         self.apply_frame(now, &frame);
     }
 
-    /// Tells the group which table is in force. Loads are left out: moves for balance have their
-    /// own tests.
+    /// Reports the index of the table in use. Loads are omitted, since rebalancing has separate tests.
     fn report(&mut self, now: Duration, connection: u64) {
         if now < self.link.next_report {
             return;
@@ -155,9 +154,9 @@
             .is_some_and(|open| open.connection == connection)
     }
 
-    fn note_heard(&mut self, now: Duration) {
+    fn record_receipt(&mut self, now: Duration) {
         if let Some(open) = &mut self.link.open {
-            open.heard = now;
+            open.last_received = now;
         }
     }
 }
--- a/crates/sim/src/actors/server.rs
+++ b/crates/sim/src/actors/server.rs
@@ -1,6 +1,6 @@
 //! A back-end server: the product's holder, driven by the simulator.
 //!
-//! Invariant: an effect is recorded only between the holder's permission and the end of the request.
+//! Invariant: an effect is recorded only after the holder permitted it and before the request ends.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,52 +14,52 @@
     ServerName, ShardKey, SocketAddress,
 };
 
-use crate::message::{Asker, ServerInput, WorkReply};
+use crate::message::{Requester, ServerInput, WorkReply};
 use crate::random::Random;
 
-/// Time that a request takes, in microseconds.
+/// Service time of a request, in microseconds.
 const SERVICE_TIME: [u64; 2] = [2_000, 25_000];
 
-/// Time that a slow request takes, in microseconds; often longer than its deadline.
+/// Service time of a slow request, in microseconds; often longer than its deadline.
 const SLOW_SERVICE_TIME: [u64; 2] = [100_000, 1_600_000];
 
-/// Slow requests, in percent.
+/// Percentage of slow requests.
 const SLOW_PERCENT: u64 = 3;
 
-/// Time until a server asks again for a record that did not come.
+/// Timeout of a fetch of a handover record, after which the fetch is repeated.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the shell is to do.
+/// Output to be carried out by the simulator.
 #[derive(Debug)]
 pub enum ServerEffect {
-    /// Answer a control leader.
+    /// Respond to a call of a control leader.
     CallAnswer {
-        /// Who asked.
-        to: Asker,
+        /// Sender of the request.
+        to: Requester,
         /// The call.
         call: CallId,
         /// The answer.
         answer: BackEndAnswer,
     },
-    /// Answer a router's request.
+    /// Respond to a router's request.
     WorkAnswer {
-        /// Who asked.
-        to: Asker,
+        /// Sender of the request.
+        to: Requester,
         /// The exchange.
         exchange: u64,
         /// The answer.
         reply: WorkReply,
     },
-    /// Answer a router's cancellation.
+    /// Respond to a router's cancellation.
     CancelAnswer {
-        /// Who asked.
-        to: Asker,
+        /// Sender of the request.
+        to: Requester,
         /// The exchange.
         exchange: u64,
         /// The answer.
         answer: CancelAnswer,
     },
-    /// Ask a shard's previous owner for its record.
+    /// Fetch a shard's handover record from its previous owner.
     FetchRecord {
         /// The previous owner.
         address: SocketAddress,
@@ -70,39 +70,39 @@
         /// Shard and epoch of this server.
         granted: HeldShard,
     },
-    /// Answer the next owner.
+    /// Send a handover record to the next owner.
     Record {
-        /// Who asked.
-        to: Asker,
+        /// Sender of the request.
+        to: Requester,
         /// Shard and epoch of the next owner.
         granted: HeldShard,
         /// The record.
         answer: HandoverAnswer,
     },
-    /// Wake up with this input.
+    /// Set a timer.
     Timer {
-        /// When, on the server's clock.
+        /// Time at which it fires, on the server's clock.
         at: Duration,
-        /// What then.
+        /// Input delivered then.
         input: ServerInput,
     },
-    /// New work was taken.
+    /// A request was started.
     WorkStarted(EffectRecord),
-    /// Work was ended without its effect.
+    /// A request ended without its effect.
     WorkEnded(EffectRecord),
-    /// An effect was made.
+    /// The effect of a request was made.
     EffectMade(EffectRecord),
 }
 
-/// A request that is worked on.
+/// A running request.
 struct Running {
     permit: Permit,
-    from: Asker,
+    from: Requester,
     exchange: u64,
     record: EffectRecord,
 }
 
-/// A server and what it does now.
+/// State of a server process.
 pub struct ServerActor {
     name: ServerName,
     holder: Holder,
@@ -110,19 +110,19 @@
     next_token: u64,
     random: Random,
     slots: usize,
-    /// Whether it tells the control group less than it runs.
-    pub misleads: bool,
-    /// Whether it refuses all work as if it had too much.
-    pub sheds: bool,
-    /// Whether its answers name requests they do not belong to.
-    pub crosses: bool,
+    /// Whether heartbeats report no requests in flight.
+    pub underreports_load: bool,
+    /// Whether all requests are shed.
+    pub sheds_all_work: bool,
+    /// Whether some responses carry the identifier of another request.
+    pub mismatches_answers: bool,
     /// Whether connections of the control group are refused.
     pub refuses_calls: bool,
     last_answered: Option<RequestId>,
 }
 
 impl ServerActor {
-    /// A server that has just started.
+    /// A server without holdings or running requests.
     pub fn new(name: ServerName, boot: u64, guards: Guards, slots: usize, random: Random) -> Self {
         let config = HolderConfig {
             report_changes: true,
@@ -136,15 +136,15 @@
             next_token: 0,
             random,
             slots,
-            misleads: false,
-            sheds: false,
-            crosses: false,
+            underreports_load: false,
+            sheds_all_work: false,
+            mismatches_answers: false,
             refuses_calls: false,
             last_answered: None,
         }
     }
 
-    /// What it holds, for records and for the check at the end.
+    /// The holder of the server.
     pub fn holder(&mut self) -> &mut Holder {
         &mut self.holder
     }
@@ -154,20 +154,20 @@
         self.holder.held_epoch(key)
     }
 
-    /// Requests that are worked on, with who asked for them.
-    pub fn running(&self) -> impl Iterator<Item = (Asker, u64, &EffectRecord)> {
+    /// Running requests with their senders and exchange numbers.
+    pub fn running(&self) -> impl Iterator<Item = (Requester, u64, &EffectRecord)> {
         self.running
             .values()
             .map(|running| (running.from, running.exchange, &running.record))
     }
 
-    /// Whether it may be stopped without cutting anything.
+    /// Whether it holds no shard and runs no request, so that it can be stopped without interrupting anything.
     pub fn is_idle(&mut self, now: Duration) -> bool {
         self.holder.tick(now);
         self.running.is_empty() && self.holder.held_shards() == 0
     }
 
-    /// Takes what reached the server; returns what to do.
+    /// Processes an input and returns the resulting effects.
     pub fn handle(&mut self, now: Duration, input: ServerInput) -> Vec<ServerEffect> {
         match input {
             ServerInput::Call {
@@ -179,7 +179,7 @@
                 from,
                 exchange,
                 request,
-            } => self.take_work(now, from, exchange, &request),
+            } => self.begin_work(now, from, exchange, &request),
             ServerInput::Cancel {
                 from,
                 exchange,
@@ -209,7 +209,7 @@
     fn answer_call(
         &mut self,
         now: Duration,
-        from: Asker,
+        from: Requester,
         call: CallId,
         request: BackEndRequest,
     ) -> Vec<ServerEffect> {
@@ -217,7 +217,7 @@
         let answer = match request {
             BackEndRequest::Heartbeat(request) => {
                 let mut answer = self.holder.heartbeat(now, &request);
-                if self.misleads {
+                if self.underreports_load {
                     answer.in_flight = 0;
                 }
                 BackEndAnswer::Heartbeat(answer)
@@ -248,10 +248,10 @@
         effects
     }
 
-    fn take_work(
+    fn begin_work(
         &mut self,
         now: Duration,
-        from: Asker,
+        from: Requester,
         exchange: u64,
         request: &Request,
     ) -> Vec<ServerEffect> {
@@ -260,7 +260,7 @@
             exchange,
             reply,
         };
-        if self.sheds || self.running.len() >= self.slots {
+        if self.sheds_all_work || self.running.len() >= self.slots {
             return vec![answer(WorkReply::Refused(Refusal::Shed))];
         }
         let permit = match self.holder.begin(now, request) {
@@ -316,8 +316,8 @@
         effects
     }
 
-    /// Requests no longer wait for a record that did not come in time; it is still asked for, since
-    /// a lost owner may come back with it.
+    /// Lets requests proceed without a record that was not received in time. The fetch is repeated, since a
+    /// lost owner may return with the record.
     fn fetch_again(&mut self, now: Duration, fetch: HandoverFetch) -> Vec<ServerEffect> {
         self.holder.complete_handover(now, &fetch.shard, None);
         match self.holder.wants_record(now, &fetch.shard) {
@@ -329,7 +329,7 @@
     fn cancel(
         &mut self,
         now: Duration,
-        to: Asker,
+        to: Requester,
         exchange: u64,
         request: &CancelRequest,
         attempt: u32,
@@ -341,11 +341,11 @@
         }
     }
 
-    /// The whole answer to a request, or now and then one that belongs to the request before it.
+    /// A complete response; with `mismatches_answers` set, some carry the identifier of the previous request.
     fn answered(&mut self, request: &RequestId) -> WorkReply {
         let previous = self.last_answered.replace(request.clone());
         let named = match previous {
-            Some(previous) if self.crosses && self.random.chance(30) => previous,
+            Some(previous) if self.mismatches_answers && self.random.chance(30) => previous,
             _ => request.clone(),
         };
         WorkReply::Answered { request: named }
--- a/crates/sim/src/clock.rs
+++ b/crates/sim/src/clock.rs
@@ -1,7 +1,7 @@
-//! The run's one clock and the clocks of its processes.
+//! The virtual clock of a run and the local clocks of its processes.
 //!
-//! Invariant: a process's clock never goes backwards, and no time of the machine that runs the
-//! simulation enters a run.
+//! Invariant: a process's clock never goes backwards, and a run never reads the clock of the machine
+//! that executes it.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 const MILLION: u128 = 1_000_000;
 
-/// Clock of one process: it starts with an offset and runs at its own rate.
+/// Local clock of one process, with its own start and rate.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     started: Instant,
@@ -24,19 +24,19 @@
 }
 
 impl ProcessClock {
-    /// A clock that shows zero at `started` and then runs at `rate_ppm` millionths of the run's rate.
+    /// A clock that reads zero at `started` and advances at `rate_ppm` millionths of the virtual clock's rate.
     pub fn new(started: Instant, rate_ppm: u64) -> Self {
         Self { started, rate_ppm }
     }
 
-    /// What the clock shows at `now`.
+    /// Local time at `now`.
     pub fn local(&self, now: Instant) -> Duration {
         let elapsed = u128::from(now.saturating_sub(self.started));
         Duration::from_nanos((elapsed * 1_000 * u128::from(self.rate_ppm) / MILLION) as u64)
     }
 
-    /// The first moment at which the clock shows `local` or more.
-    pub fn moment(&self, local: Duration) -> Instant {
+    /// The first instant at which the local time is `local` or later.
+    pub fn instant_at(&self, local: Duration) -> Instant {
         let nanoseconds = local.as_nanos() * MILLION;
         let elapsed = nanoseconds.div_ceil(1_000 * u128::from(self.rate_ppm));
         self.started
--- a/crates/sim/src/deployment.rs
+++ b/crates/sim/src/deployment.rs
@@ -10,39 +10,42 @@
 
 use crate::process::{Process, ZONES};
 
-/// Control replicas.
+/// Number of control replicas.
 pub const CONTROLS: usize = 3;
-/// Back-end servers.
+/// Number of back-end servers.
 pub const SERVERS: usize = 4;
-/// Routers.
+/// Number of routers.
 pub const ROUTERS: usize = 2;
-/// The one service.
+/// Name of the only service.
 pub const SERVICE: &str = "ledger";
-/// Shards of the service.
+/// Number of shards of the service.
 pub const SHARDS: u32 = 8;
-/// Requests that a server runs at once.
+/// Maximum number of requests that a server runs concurrently.
 pub const SLOTS: u32 = 6;
 /// Class of requests that may not be repeated.
 pub const APPROVAL: &str = "approval";
 /// Class of requests that may be repeated.
 pub const LOOKUP: &str = "lookup";
-/// Sides of the migration.
+/// Names of the two sides of the migration.
 pub const SIDES: [&str; 2] = ["old", "new"];
-/// Operators whose signatures count.
+/// Operators whose signatures the control replicas accept.
 pub const OPERATORS: [&str; 2] = ["ana", "bo"];
 
-/// Which of a control replica's addresses.
+/// Ports of a control replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
-    /// For other replicas.
+    /// Connections of other replicas.
     Peer = 7001,
-    /// For routers.
+    /// Connections of routers.
     Router = 7002,
-    /// For operators.
+    /// Requests of operators.
     Admin = 7003,
 }
 
-/// A name of the schema.
+/// Parses a name of a schema type.
+///
+/// # Panics
+/// The text is not a valid name.
 pub fn name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
@@ -50,7 +53,7 @@
     text.parse().expect("names of the simulation are valid")
 }
 
-/// Address of a control replica.
+/// Address of one port of a control replica.
 pub fn control_address(number: usize, port: Port) -> SocketAddress {
     name(&format!("10.0.0.{}:{}", number + 1, port as u16))
 }
@@ -60,7 +63,7 @@
     name(&format!("10.0.1.{}:8000", number + 1))
 }
 
-/// The process behind an address.
+/// The process that listens on an address; `None` for addresses outside the deployment.
 pub fn process_at(address: &SocketAddress) -> Option<Process> {
     let (host, _) = address.as_str().split_once(':')?;
     let (network, number) = host.rsplit_once('.')?;
@@ -82,7 +85,7 @@
     name(&Process::Server(number).name())
 }
 
-/// Identifier of the group's founding.
+/// Cluster identifier used to found the group.
 pub fn cluster() -> ClusterId {
     name(&"5".repeat(32))
 }
@@ -113,7 +116,7 @@
     SignedBundle { bundle, signatures }
 }
 
-/// A version of the bundle in which the new side carries `new_share` of a hundred.
+/// A bundle of the given version that assigns `new_share` percent of the shards to the new side.
 pub fn bundle(version: u64, parent: Option<Digest>, new_share: u32, note: &str) -> Bundle {
     Bundle {
         deployment: name("sim"),
--- a/crates/sim/src/history.rs
+++ b/crates/sim/src/history.rs
@@ -1,7 +1,7 @@
-//! Records what happens in a run.
+//! Records the history of a run.
 //!
-//! Invariant: what is recorded comes from what the product did, at the time it did it; a hold that
-//! lapsed unnoticed is recorded at the moment its lease ended.
+//! Invariant: records reflect actions of the product at the time they happened; a hold whose lease expired
+//! without any processing is recorded at the time of expiry.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 
 use crate::clock::Instant;
 
-/// Records of a run so far.
+/// History recorded so far.
 #[derive(Default)]
 pub struct Recorder {
     records: Vec<HistoryRecord>,
@@ -17,12 +17,12 @@
 }
 
 impl Recorder {
-    /// Adds a record.
+    /// Appends a record.
     pub fn record(&mut self, at_us: Instant, event: HistoryEvent) {
         self.records.push(HistoryRecord { at_us, event });
     }
 
-    /// Whether this assignment is acknowledged for the first time.
+    /// Marks the assignment as acknowledged; returns whether it was not marked before.
     pub fn first_acknowledged(
         &mut self,
         service: &ServiceName,
@@ -32,7 +32,7 @@
         self.acknowledged.insert((service.clone(), shard, epoch))
     }
 
-    /// The records in the order of their times.
+    /// The records sorted by time; records with equal times keep their order.
     pub fn into_records(mut self) -> Vec<HistoryRecord> {
         self.records.sort_by_key(|record| record.at_us);
         self.records
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,8 +1,8 @@
 //! Deterministic simulator on a virtual clock.
 //!
-//! Job: run the product's own control replicas, routers and holders, on simulated disks, clocks and
-//! network, under the faults of a table of scenarios, and hand the records to the checkers.
-//! Invariant: one seed decides a run; the same scenario and seed give the same bytes.
+//! Runs the product's own control replicas, routing decisions and holders on simulated disks, clocks and
+//! networks, injects the faults of a table of scenarios, and passes the recorded history to the checkers.
+//! Invariant: a run is determined by its scenario, seed and guards; equal ones give identical bytes.
 
 mod actors;
 mod clock;
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -56,7 +56,7 @@
     },
 }
 
-/// Scenarios of `measure`.
+/// Scenarios that `measure` runs.
 const MEASURED: [&str; 8] = [
     "leader-killed",
     "leader-cut-off",
@@ -121,7 +121,7 @@
     })
 }
 
-/// A scenario that must break something fails when it breaks nothing.
+/// A scenario with `must_break` fails when no run reports a violation.
 fn is_failed(scenario: &Scenario, batch: &Batch) -> bool {
     match scenario.must_break {
         true => batch.broken == 0,
--- a/crates/sim/src/message.rs
+++ b/crates/sim/src/message.rs
@@ -1,4 +1,4 @@
-//! What reaches processes and actors: messages of others and their own timers.
+//! Inputs of processes and actors: messages of other processes and their own timers.
 
 use grebepin_control::{
     AdminAnswer, AdminRequest, BackEndAnswer, BackEndRequest, CallFailure, CallId, ConnectionId,
@@ -10,26 +10,26 @@
     MachineList, Outcome, PeerFrame, Refusal, RequestId, RouterFrame, ShardKey,
 };
 
-/// Who asked, so that the answer finds the very start of the process that asked.
+/// The process that sent a request, with its incarnation, so that the response reaches only that start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
-    /// Position of the process among those of its kind.
+pub struct Requester {
+    /// Index of the process among those of its kind.
     pub number: usize,
     /// Number of its start.
     pub incarnation: u64,
 }
 
-/// How a back end answered a request.
+/// Result of a request to a back end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkReply {
-    /// The whole answer; `request` is the one it says it belongs to.
+    /// A complete response.
     Answered {
-        /// Request named by the answer.
+        /// Request identifier carried by the response.
         request: RequestId,
     },
-    /// It was not run.
+    /// The server refused the request without running it.
     Refused(Refusal),
-    /// No connection; nothing was sent.
+    /// No connection could be made; nothing was sent.
     NotSent,
     /// The connection broke after the request was sent.
     Broken,
@@ -38,32 +38,32 @@
 /// A caller's request to a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRequest {
-    /// The caller's identifier.
+    /// Identifier chosen by the caller.
     pub request: RequestId,
     /// 1 for the first attempt.
     pub attempt: u32,
-    /// Key.
+    /// Key that the request operates on.
     pub key: String,
-    /// Whether it may run twice.
+    /// Whether it may be executed more than once.
     pub repeatable: bool,
-    /// Time to its deadline in microseconds.
+    /// Time left until its deadline, in microseconds.
     pub deadline_us: u64,
 }
 
 /// A router's answer to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterAnswer {
-    /// Request that was asked.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Attempt that was asked.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Outcome.
+    /// Outcome as reported to the caller.
     pub outcome: Outcome,
-    /// Request that the answer says it belongs to.
+    /// Request identifier carried by the response; set only for an answered request.
     pub answer_for: Option<RequestId>,
 }
 
-/// One thing that reaches a process or an actor.
+/// One input of a process or an actor.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// To a control replica.
@@ -76,25 +76,25 @@
     Callers(CallerInput),
     /// To the operators.
     Operators(OperatorInput),
-    /// The platform looks at its machines.
+    /// The platform takes a snapshot of its machines and publishes a list.
     PlatformTick,
 }
 
 /// To a control replica.
 #[derive(Clone, Debug)]
 pub enum ControlInput {
-    /// Its timer.
+    /// Its timer fired.
     Wake,
-    /// A frame of another replica.
+    /// A frame from another replica.
     Peer(PeerFrame),
-    /// A call to a back end ended.
+    /// A call to a back end completed or failed.
     CallEnded {
         /// The call.
         call: CallId,
-        /// Its answer, or why there is none.
+        /// The response or the failure.
         answer: Result<BackEndAnswer, CallFailure>,
     },
-    /// A frame of a router.
+    /// A frame from a router.
     Router {
         /// Router that sent it.
         router: usize,
@@ -103,55 +103,55 @@
         /// The frame.
         frame: RouterFrame,
     },
-    /// A router's connection ended.
+    /// A router's connection was closed.
     RouterClosed(ConnectionId),
-    /// An operator asks.
+    /// A request of an operator.
     Admin {
-        /// Names the reply.
+        /// Identifies the reply.
         reply: ReplyId,
         /// The request.
         request: AdminRequest,
     },
-    /// The platform's list.
+    /// The platform's machine list.
     Machines(MachineList),
 }
 
 /// To a server.
 #[derive(Clone, Debug)]
 pub enum ServerInput {
-    /// A control leader calls.
+    /// A call of a control leader.
     Call {
-        /// Who asks.
-        from: Asker,
-        /// Names the answer.
+        /// Sender of the request.
+        from: Requester,
+        /// Identifies the response.
         call: CallId,
         /// The call.
         request: BackEndRequest,
     },
-    /// A router sends a request.
+    /// A request sent by a router.
     Work {
-        /// Who asks.
-        from: Asker,
-        /// Names the answer.
+        /// Sender of the request.
+        from: Requester,
+        /// Identifies the response.
         exchange: u64,
         /// The request.
         request: Request,
     },
     /// A router cancels a request.
     Cancel {
-        /// Who asks.
-        from: Asker,
-        /// Names the answer.
+        /// Sender of the request.
+        from: Requester,
+        /// Identifies the response.
         exchange: u64,
         /// The request.
         request: CancelRequest,
-        /// Attempt that the router sent.
+        /// Attempt to cancel.
         attempt: u32,
     },
-    /// The next owner asks for a shard's record.
+    /// The next owner requests a shard's handover record.
     Handover {
-        /// Who asks.
-        from: Asker,
+        /// Sender of the request.
+        from: Requester,
         /// The shard.
         key: ShardKey,
         /// Epoch at which it was released.
@@ -159,24 +159,24 @@
         /// Shard and epoch of the next owner.
         granted: HeldShard,
     },
-    /// The record of a shard, or that it could not be had in time.
+    /// The handover record of a shard, or the failure to fetch it.
     HandedOver {
         /// Shard and epoch of this owner.
         granted: HeldShard,
-        /// The record.
+        /// The record; `None` when the previous owner could not be reached.
         answer: Option<HandoverAnswer>,
     },
-    /// A record that was asked for should have come by now.
+    /// The timeout of a handover fetch expired.
     RecordTimeout(HandoverFetch),
-    /// A request has been worked on for its service time.
+    /// The service time of a running request elapsed.
     WorkDone(u64),
 }
 
 /// To a router.
 #[derive(Clone, Debug)]
 pub enum RouterInput {
-    /// A caller asks.
-    Asked(CallerRequest),
+    /// A request of a caller.
+    Request(CallerRequest),
     /// A frame on a connection to a control replica.
     Frame {
         /// The connection.
@@ -184,59 +184,59 @@
         /// The frame.
         frame: ControlFrame,
     },
-    /// A connection to a control replica ended or could not be made.
+    /// A connection to a control replica was closed or could not be made.
     Closed(u64),
-    /// The answer to an exchange with a server.
+    /// The result of a request to a server.
     Replied {
         /// The exchange.
         exchange: u64,
         /// The answer.
         reply: WorkReply,
     },
-    /// The answer to a cancellation.
+    /// The result of a cancellation; `None` when the server could not be reached.
     Cancelled {
         /// The exchange.
         exchange: u64,
         /// The answer.
         answer: Option<CancelAnswer>,
     },
-    /// The time for an exchange ended.
+    /// The timeout of an exchange expired.
     ExchangeTimeout(u64),
-    /// A flow that waits wakes up.
+    /// The wait time of a flow expired.
     FlowWake(u64),
-    /// The router's timer.
+    /// The router's periodic timer fired.
     Tick,
 }
 
 /// To the callers.
 #[derive(Clone, Debug)]
 pub enum CallerInput {
-    /// The next new request.
+    /// It is time to send the next new request.
     Next,
-    /// A router answered.
+    /// A response of a router.
     Answer(RouterAnswer),
-    /// The caller gives up waiting for an attempt.
+    /// The caller's timeout of an attempt expired.
     Timeout {
         /// Request.
         request: RequestId,
         /// Attempt.
         attempt: u32,
     },
-    /// The caller sends a request again.
+    /// The delay before a resend elapsed.
     Resend(RequestId),
 }
 
 /// To the operators.
 #[derive(Clone, Debug)]
 pub enum OperatorInput {
-    /// A job is begun or tried again; `try_number` tells an old timer from a new one.
+    /// A job is started or retried; a timer with an outdated `try_number` is ignored.
     Try {
         /// The job.
         job: usize,
-        /// Number of the try that this timer follows.
+        /// Number of the try after which the timer was set.
         try_number: u32,
     },
-    /// A control replica answered.
+    /// A response of a control replica.
     Reply {
         /// The job.
         job: usize,
@@ -245,6 +245,6 @@
         /// The answer.
         result: Result<AdminAnswer, ApiError>,
     },
-    /// Looks whether a leaving server may be stopped.
+    /// Checks whether the draining server of this fault may be stopped.
     WatchLeaving(usize),
 }
--- a/crates/sim/src/network.rs
+++ b/crates/sim/src/network.rs
@@ -1,7 +1,7 @@
-//! The network between the processes.
+//! The simulated network between processes.
 //!
-//! Invariant: what becomes of a message depends on the stream of random numbers, the faults in force
-//! and the order of sends alone.
+//! Invariant: loss, delay and duplication of a message depend only on the random stream, the faults in force
+//! and the order of sends.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 use crate::process::Process;
 use crate::random::{Random, Stream};
 
-/// Usual one-way delay between two processes in microseconds.
+/// One-way delay without faults, in microseconds.
 const USUAL_DELAY: [u64; 2] = [300, 1_500];
 
-/// Delay of a message that a noisy network holds back, in microseconds.
+/// Additional delay of a message under [`NetworkFault::Noisy`], in microseconds.
 const NOISY_DELAY: [u64; 2] = [2 * MILLISECOND, 120 * MILLISECOND];
 
-/// Extra delay of a byte stream's frame whose packet was lost once, in microseconds.
+/// Additional delay of a stream frame whose packet was lost once and retransmitted, in microseconds.
 const RETRANSMISSION: u64 = 200 * MILLISECOND;
 
-/// Directions in which a process is cut off.
+/// Number of faults that cut each direction of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Cut {
     outgoing: u32,
@@ -29,34 +29,34 @@
 /// A fault of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetworkFault {
-    /// Nothing to or from this process passes.
+    /// Messages to and from this process are dropped.
     Isolated(Process),
-    /// Nothing from this process passes.
+    /// Messages from this process are dropped.
     OutgoingLost(Process),
-    /// Nothing to this process passes.
+    /// Messages to this process are dropped.
     IncomingLost(Process),
-    /// Nothing between this control replica and the others passes.
+    /// Messages between this control replica and the others are dropped.
     PeersLost(Process),
-    /// Nothing between this zone and the others passes.
+    /// Messages between this zone and the others are dropped.
     ZoneCut(usize),
-    /// Nothing between two processes passes, in either direction.
+    /// Messages between the two processes are dropped in both directions.
     PairCut(Process, Process),
-    /// Messages to and from this process take up to this many microseconds.
+    /// Messages to and from this process are delayed by up to this many additional microseconds.
     Slow(Process, u64),
-    /// Messages are lost, doubled and held back, all over the network.
+    /// Messages between all processes are lost, duplicated and delayed at random.
     Noisy,
 }
 
-/// How a message travels.
+/// Delivery semantics of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Carriage {
-    /// It may be lost, doubled and overtaken.
+pub enum Delivery {
+    /// It may be lost, duplicated and reordered.
     Datagram,
-    /// It may be lost and overtaken, and is never doubled.
+    /// It may be lost and reordered, but is never duplicated.
     Call,
 }
 
-/// What the network does to messages now.
+/// The network with the faults in force.
 pub struct Network {
     random: Random,
     cuts: BTreeMap<Process, Cut>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Ends a fault that was begun.
+    /// Ends a fault started by [`Network::begin`].
     pub fn end(&mut self, fault: NetworkFault) {
         self.change(fault, |count| *count = count.saturating_sub(1));
         match fault {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Whether a message from one process to another passes now.
+    /// Whether no fault in force blocks messages from one process to another.
     pub fn passes(&self, from: Process, to: Process) -> bool {
         let out = self.cuts.get(&from).copied().unwrap_or_default();
         let into = self.cuts.get(&to).copied().unwrap_or_default();
@@ -156,13 +156,13 @@
         }
     }
 
-    /// When copies of a message arrive; empty when it is lost.
+    /// Arrival times of the copies of a message; empty when it is lost.
     pub fn send(
         &mut self,
         now: Instant,
         from: Process,
         to: Process,
-        how: Carriage,
+        how: Delivery,
     ) -> Vec<Instant> {
         let mut delay = self.random.range(USUAL_DELAY);
         delay += self.slowness(from, to);
@@ -179,14 +179,14 @@
         if self.random.chance(8) {
             arrivals.clear();
         }
-        if how == Carriage::Datagram && self.random.chance(8) {
+        if how == Delivery::Datagram && self.random.chance(8) {
             arrivals.push(now + delay + self.random.range(NOISY_DELAY));
         }
         arrivals
     }
 
-    /// When a frame of a byte stream arrives, not before the one sent before it; `None` when a cut
-    /// breaks the stream.
+    /// Arrival time of a frame on a byte stream, no earlier than `after`, the arrival of the previous frame;
+    /// `None` when a fault breaks the stream.
     pub fn send_in_order(
         &mut self,
         now: Instant,
--- a/crates/sim/src/process.rs
+++ b/crates/sim/src/process.rs
@@ -1,4 +1,4 @@
-//! Names of the simulated processes, and whether they run.
+//! Identities and run states of the simulated processes.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 /// Zones of the simulated deployment.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// A process, or an actor outside the product.
+/// A simulated process of the product, or an external actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Process {
     /// A control replica.
@@ -16,16 +16,16 @@
     Server(usize),
     /// A router.
     Router(usize),
-    /// All callers; never at fault.
+    /// All callers; never affected by process faults.
     Callers,
-    /// All operators; never at fault.
+    /// All operators; never affected by process faults.
     Operators,
-    /// The platform; never at fault.
+    /// The platform; never affected by process faults.
     Platform,
 }
 
 impl Process {
-    /// Name in histories.
+    /// Name used in the history.
     pub fn name(self) -> String {
         match self {
             Process::Control(number) => format!("control-{}", number + 1),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Position of its zone in [`ZONES`]; `None` for actors outside every zone.
+    /// Index of its zone in [`ZONES`]; `None` for external actors.
     pub fn zone(self) -> Option<usize> {
         match self {
             Process::Control(number) | Process::Server(number) | Process::Router(number) => {
@@ -48,55 +48,55 @@
     }
 }
 
-/// Whether a process runs.
+/// Run state of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It runs.
+    /// It processes input.
     Running,
-    /// It is stopped in the middle of whatever it did; its clock goes on.
+    /// It is suspended; its clock keeps running.
     Frozen,
-    /// It is not there.
+    /// It is not running.
     Down,
 }
 
-/// What the simulator keeps of a process besides its state.
+/// Simulator state of a process: run state, clock and faults in force.
 #[derive(Debug)]
-pub struct Body<M> {
-    /// Whether it runs.
+pub struct ProcessState<M> {
+    /// Run state.
     pub condition: Condition,
-    /// Number of its start; messages to earlier ones are lost.
+    /// Number of the current start, from 1; messages addressed to an earlier start are dropped.
     pub incarnation: u64,
-    /// Its clock.
+    /// Local clock, reset at each start.
     pub clock: ProcessClock,
-    /// What reached it while it was frozen.
-    pub held: VecDeque<M>,
-    /// Faults that keep it from running; it runs again when all have ended.
+    /// Inputs that arrived while it was frozen.
+    pub deferred: VecDeque<M>,
+    /// Number of faults that keep it frozen; it resumes when all have ended.
     pub freezes: u32,
-    /// Faults that keep it down.
+    /// Number of faults that keep it down.
     pub kills: u32,
-    /// Rate of its clock in millionths.
+    /// Rate of its clock in millionths of the virtual clock's rate.
     pub rate_ppm: u64,
 }
 
-impl<M> Body<M> {
+impl<M> ProcessState<M> {
     /// A process that starts at `now`.
     pub fn new(now: Instant, rate_ppm: u64) -> Self {
         Self {
             condition: Condition::Running,
             incarnation: 1,
             clock: ProcessClock::new(now, rate_ppm),
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
             freezes: 0,
             kills: 0,
             rate_ppm,
         }
     }
 
-    /// Starts the process again.
+    /// Starts the process again with a new incarnation and clock; deferred inputs are dropped.
     pub fn restart(&mut self, now: Instant) {
         self.incarnation += 1;
         self.clock = ProcessClock::new(now, self.rate_ppm);
         self.condition = Condition::Running;
-        self.held.clear();
+        self.deferred.clear();
     }
 }
--- a/crates/sim/src/queue.rs
+++ b/crates/sim/src/queue.rs
@@ -1,6 +1,6 @@
-//! Events in the order of their times.
+//! Event queue ordered by time.
 //!
-//! Invariant: events of the same time come out in the order in which they were put in.
+//! Invariant: events with equal times are popped in the order in which they were pushed.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -33,14 +33,14 @@
     }
 }
 
-/// Events that are still to come.
+/// Pending events.
 pub struct EventQueue<E> {
     events: BinaryHeap<Reverse<Queued<E>>>,
     next_number: u64,
 }
 
 impl<E> EventQueue<E> {
-    /// No events.
+    /// An empty queue.
     pub fn new() -> Self {
         Self {
             events: BinaryHeap::new(),
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Adds an event.
+    /// Schedules an event at `at`.
     pub fn push(&mut self, at: Instant, event: E) {
         let number = self.next_number;
         self.next_number += 1;
         self.events.push(Reverse(Queued { at, number, event }));
     }
 
-    /// The next event and its time.
+    /// Removes the earliest event and returns it with its time; `None` when the queue is empty.
     pub fn pop(&mut self) -> Option<(Instant, E)> {
         let Reverse(queued) = self.events.pop()?;
         Some((queued.at, queued.event))
--- a/crates/sim/src/removal.rs
+++ b/crates/sim/src/removal.rs
@@ -1,40 +1,40 @@
-//! Protections of the product that a run may take out, one at a time.
+//! Protections of the product that a run can disable, one at a time.
 //!
-//! Invariant: without the feature `removable-guards` every protection is in force.
+//! Invariant: without the feature `removable-guards` every protection is enabled.
 
 use grebepin_control::NodeGuards;
 
-/// A protection that a run may take out.
+/// A protection that a run can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Removal {
-    /// A lease counts from the moment its nonce was issued.
+    /// The lease is measured from the time at which its nonce was issued.
     Nonce,
-    /// Renewals and grants of an ended session are refused.
+    /// Renewals and grants of an expired session are refused.
     Session,
-    /// A leader acts only while a majority answered it within its lease.
+    /// A leader acts only while a majority has responded within its lease.
     LeaderLease,
-    /// Replicas give no vote within the election timeout of a leader's last message.
+    /// Replicas grant no vote within the election timeout after the last message of a leader.
     VotePromise,
-    /// A server looks at lease and epoch when a request begins and before its effect.
+    /// A server checks lease and epoch when a request begins and before its effect.
     EpochCheck,
-    /// The log is synced before anything that rests on it leaves.
+    /// The log is synced before any message that depends on it is sent.
     Sync,
-    /// Learners count towards no majority.
+    /// Learners do not count towards a majority.
     LearnerRule,
-    /// A cancelled request is refused from then on.
+    /// A cancelled request is refused when it arrives later.
     Tombstone,
-    /// A resend is refused where an earlier attempt can't be looked up.
+    /// A resend is refused where the result of an earlier attempt cannot be looked up.
     ResendRule,
-    /// Bundles follow their parent, and assignments name the epoch they expect.
+    /// Bundles must name the current bundle as parent, and assignments the epoch that they replace.
     CompareAndSet,
-    /// Shards of a silent server are taken only after the end of any lease it may hold.
+    /// Shards of an unreachable server are reassigned only after any lease that it may hold has expired.
     FencingBound,
-    /// A router's table never moves back.
+    /// A router never replaces its table by an older one.
     MonotonicTable,
 }
 
 impl Removal {
-    /// Every protection that can be taken out.
+    /// Every protection that can be disabled.
     pub const ALL: [Removal; 12] = [
         Removal::Nonce,
         Removal::Session,
@@ -51,19 +51,19 @@
     ];
 }
 
-/// The protections in force in a run.
+/// The protections enabled in a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunGuards {
-    /// Of control replicas.
+    /// Guards of control replicas.
     pub node: NodeGuards,
-    /// Of servers.
+    /// Guards of servers.
     pub holder: grebepin_holder::Guards,
-    /// Of routers.
+    /// Guards of routers.
     pub traffic: grebepin_traffic::Guards,
 }
 
 impl RunGuards {
-    /// Every protection but one.
+    /// Enables every protection except `removal`.
     #[cfg(feature = "removable-guards")]
     pub fn without(removal: Removal) -> Self {
         use grebepin_consensus::{Guard as ConsensusGuard, Guards as ConsensusGuards};
--- a/crates/sim/src/run.rs
+++ b/crates/sim/src/run.rs
@@ -1,6 +1,6 @@
-//! Runs scenarios over seeds, on as many threads as are asked for.
+//! Runs scenarios over ranges of seeds on several threads.
 //!
-//! Invariant: the order of the results is that of the seeds, however many threads there are.
+//! Invariant: results are ordered by seed, independent of the number of threads.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,30 +17,30 @@
 use crate::unavailable::{self, Unavailable};
 use crate::world::{Finding, World};
 
-/// What came of one run.
+/// Result of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunOutcome {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Seed.
+    /// Seed that the run was started with.
     pub seed: u64,
-    /// Broken promises.
+    /// Violations that the checkers reported.
     pub violations: Vec<Violation>,
-    /// What else must not be.
+    /// Failures of the simulator's own checks.
     pub findings: Vec<Finding>,
-    /// What the history holds.
+    /// Counts of the events in the history.
     pub counts: Counts,
     /// Churn, imbalance and unavailable time.
     pub measures: Measures,
-    /// Times without an owner and without a leader.
+    /// Times without a working owner and without a leader.
     pub unavailable: Unavailable,
-    /// The records.
+    /// The history, ordered by time.
     #[serde(skip)]
     pub records: Vec<HistoryRecord>,
 }
 
 impl RunOutcome {
-    /// Whether all promises were kept and nothing else was found.
+    /// Whether there are neither violations nor findings.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty() && self.findings.is_empty()
     }
@@ -88,29 +88,29 @@
     }
 }
 
-/// Runs of one scenario.
+/// Results of the runs of one scenario.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Batch {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Runs.
+    /// Number of runs.
     pub runs: u64,
-    /// Runs that broke a promise.
+    /// Runs with at least one violation.
     pub broken: u64,
-    /// Runs in which something else was found.
+    /// Runs with at least one finding.
     pub found: u64,
     /// Requests answered over all runs.
     pub answered: u64,
     /// Effects over all runs.
     pub effects: u64,
-    /// Runs that were not clean, without their records; the first few.
+    /// The first few runs that were not clean, without their records.
     pub unclean: Vec<RunOutcome>,
     /// Unavailable times of all runs.
     #[serde(skip)]
     pub unavailable: Vec<Unavailable>,
 }
 
-/// Outcomes that a batch keeps whole.
+/// Maximum number of outcomes in [`Batch::unclean`].
 const KEPT_OUTCOMES: usize = 20;
 
 /// Runs a scenario with every seed of a range, on `threads` threads.
@@ -141,10 +141,10 @@
         .into_inner()
         .unwrap_or_else(PoisonError::into_inner);
     outcomes.sort_by_key(|outcome| outcome.seed);
-    summarise(scenario, outcomes)
+    summarize(scenario, outcomes)
 }
 
-fn summarise(scenario: &Scenario, outcomes: Vec<RunOutcome>) -> Batch {
+fn summarize(scenario: &Scenario, outcomes: Vec<RunOutcome>) -> Batch {
     let mut batch = Batch {
         scenario: scenario.name.clone(),
         ..Batch::default()
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -1,37 +1,37 @@
-//! The table of scenarios: which faults strike, when and whom.
+//! The table of scenarios: which faults are injected, when, and into which processes.
 //!
-//! Each row of `scenarios.toml` is a scenario of its own. From the rows marked `combine` follow two
-//! more kinds: each row twice (`NAME-twice`), and each pair of rows (`ONE+OTHER`).
+//! Each row of `scenarios.toml` is a scenario. Rows marked `combine` also yield derived scenarios: the row
+//! with its faults injected twice (`NAME-twice`), and each pair of rows (`ONE+OTHER`).
 
 use serde::Deserialize;
 
-/// The table that the simulator is built with.
+/// The table, compiled into the simulator.
 const TABLE: &str = include_str!("../scenarios.toml");
 
-/// What happens in a run besides the usual work.
+/// Faults and settings of a run, on top of the standard workload.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Scenario {
-    /// Name.
+    /// Unique name, as given on the command line.
     pub name: String,
-    /// What it shows, for people.
+    /// One-line description, printed by `list`.
     pub about: String,
-    /// Words of the users' list of failures that it stands for.
+    /// Entry of the requirements' list of failures that the scenario covers, quoted.
     #[serde(default)]
     pub point: String,
-    /// Faults in force one after the other or together.
+    /// Faults to inject; their times may overlap.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// Whether it also runs twice and in pairs.
+    /// Whether the row is also run with its faults twice and paired with other rows.
     #[serde(default)]
     pub combine: bool,
-    /// Rates of servers' clocks lie this many percent below the stated bound, which breaks it.
+    /// Percentage by which the servers' clocks are slowed, to violate the assumed drift bound; 0 for none.
     #[serde(default)]
     pub slow_servers_percent: u64,
-    /// Entries between two snapshots of a control replica.
+    /// Log entries between two snapshots of a control replica.
     #[serde(default = "usual_snapshot_every")]
     pub snapshot_every: u64,
-    /// Whether frames of connections that a router gave up on still reach it.
+    /// Whether a router still processes frames of connections that it has closed.
     #[serde(default)]
     pub late_frames: bool,
     /// Whether the checkers must report violations.
@@ -43,21 +43,21 @@
     100_000
 }
 
-/// One fault.
+/// One fault to inject.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Whom it strikes.
+    /// How the affected process is chosen.
     #[serde(default)]
     pub target: Target,
-    /// When it begins, in ms since the start: a range from which a run draws.
+    /// Range from which a run draws the start of the fault, in ms since the start of the run.
     pub at: [u64; 2],
-    /// How long it lasts, in ms.
+    /// Range from which a run draws the duration, in ms; zero for faults that act at once.
     #[serde(default)]
     pub lasts: [u64; 2],
-    /// Bound of a kind that has one, such as the most delay in ms or a count.
+    /// Parameter of the kind, such as the maximum delay in ms, a count or a percentage; otherwise unused.
     #[serde(default)]
     pub amount: u64,
 }
@@ -66,78 +66,78 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The process dies; its disk keeps what was written.
+    /// The process crashes; its disk keeps everything written.
     Kill,
-    /// The machine loses power: the process dies, and the disk loses what was not synced.
+    /// The machine loses power: the process crashes, and unsynced writes are lost.
     PowerLoss,
-    /// As [`FaultKind::PowerLoss`], and the last write is torn.
+    /// As [`FaultKind::PowerLoss`], with torn writes.
     TornWrite,
-    /// The process dies, and its disk comes back empty.
+    /// The process crashes and restarts with an empty disk.
     LoseDisk,
-    /// The process stops in the middle of whatever it does, and goes on later.
+    /// The process is suspended and later resumed; input that arrives meanwhile is delivered on resumption.
     Freeze,
-    /// Nothing to or from the process passes.
+    /// All messages to and from the process are dropped.
     Isolate,
-    /// Nothing from the process passes.
+    /// All messages from the process are dropped.
     LoseOutgoing,
-    /// Nothing to the process passes.
+    /// All messages to the process are dropped.
     LoseIncoming,
-    /// Nothing between the control replica and the others passes; servers and routers reach it.
+    /// Messages between the control replica and its peers are dropped; servers and routers still reach it.
     LosePeers,
-    /// Nothing between the zone and the others passes.
+    /// Messages between the zone and the other zones are dropped.
     CutZone,
-    /// Nothing between the target and one control replica passes.
+    /// Messages between the target and one randomly chosen control replica are dropped.
     CutPair,
-    /// Nothing between the target and the control leader passes.
+    /// Messages between the target and the control leader are dropped.
     LoseLeader,
-    /// The server's machine refuses connections of the control group, and the server goes on.
+    /// The server refuses connections of the control group but keeps serving routers.
     RefuseCalls,
-    /// Messages to and from the process take up to `amount` ms.
+    /// Messages to and from the process are delayed by up to `amount` ms.
     Slow,
-    /// Messages everywhere are lost, doubled and held back.
+    /// Messages of all processes are lost, duplicated and delayed at random.
     Noisy,
-    /// Two operators roll different bundles of the same version at once.
+    /// Two operators concurrently submit different bundles of the same version.
     Race,
-    /// The next `amount` answers to operators are lost.
+    /// The next `amount` responses to operators are lost.
     LoseAnswers,
-    /// The platform's list is `amount` ms old and calls live servers gone.
+    /// The platform's machine list is `amount` ms old and reports some live servers as gone.
     StaleMachines,
-    /// The server tells less load than it has.
+    /// The server reports no requests in flight to the control group.
     Mislead,
-    /// The server refuses all work as if it had too much.
+    /// The server sheds all requests.
     Shed,
-    /// The server's answers name other requests now and then.
+    /// Some of the server's responses carry the identifier of the request answered before.
     CrossAnswers,
-    /// An operator drains the server, stops it once it is empty, and brings it back.
+    /// An operator drains the server, stops it once it is idle, and restarts it when the fault ends.
     PlannedStop,
-    /// The server is told to leave, exits once it is empty, and starts again.
+    /// The server itself starts draining, exits once it is idle, and restarts when the fault ends.
     Leave,
-    /// Operators drain servers and bring them back `amount` times, which makes many entries.
+    /// Operators start and end drains of servers, `amount` requests in all, which appends many log entries.
     Churn,
-    /// An operator rolls a bundle whose new side carries `amount` percent.
+    /// An operator submits a bundle that assigns `amount` percent of the shards to the new side.
     Roll,
 }
 
-/// Whom a fault strikes.
+/// How the process affected by a fault is chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Target {
-    /// Nobody in particular.
+    /// No process; the fault acts on the network, the operators or the platform.
     #[default]
     Nobody,
     /// The control leader.
     Leader,
-    /// A control replica that does not lead.
+    /// A control replica other than the leader.
     Follower,
     /// Any control replica.
     Control,
-    /// A control replica that no fault strikes now, other than the one struck last.
+    /// A control replica without a fault in force, other than the one chosen last.
     AnotherControl,
-    /// The control replica struck last.
+    /// The control replica chosen last.
     SameControl,
     /// Any server.
     Server,
-    /// The server struck last.
+    /// The server chosen last.
     SameServer,
     /// Any router.
     Router,
@@ -145,14 +145,14 @@
     Zone,
 }
 
-/// Why the table can't be used.
+/// Errors of reading the table or selecting scenarios from it.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The table does not parse.
-    #[error("the table of scenarios does not parse: {0}")]
+    #[error("cannot parse the scenario table: {0}")]
     Parse(#[from] toml::de::Error),
     /// No scenario has this name.
-    #[error("no scenario is named {0}; `grebepin-sim list` names them")]
+    #[error("unknown scenario {0}; `grebepin-sim list` prints all names")]
     Unknown(String),
 }
 
@@ -162,7 +162,7 @@
     scenario: Vec<Scenario>,
 }
 
-/// Rows of the table, each a scenario of its own.
+/// The rows of the table, without derived scenarios.
 ///
 /// # Errors
 /// The table does not parse.
@@ -171,7 +171,7 @@
     Ok(table.scenario)
 }
 
-/// Every scenario: the rows, the rows twice, and the pairs.
+/// Every scenario: rows, rows with their faults twice, and pairs.
 ///
 /// # Errors
 /// The table does not parse.
@@ -188,7 +188,7 @@
     Ok(scenarios)
 }
 
-/// The scenarios that a word means: the name of one, or `rows`, `twice`, `pairs` or `all`.
+/// The scenarios selected by `word`: the name of one, or `rows`, `twice`, `pairs` or `all`.
 ///
 /// # Errors
 /// The table does not parse, or no scenario has this name.
@@ -210,7 +210,8 @@
     }
 }
 
-/// Later the second time, so that it strikes while the first is being mended or in force.
+/// Extends the start range of the second injection, so that it begins while the first fault is in force
+/// or the system recovers from it.
 const SECOND_TIME_MS: u64 = 1_500;
 
 fn twice(row: &Scenario) -> Scenario {
--- a/crates/sim/src/unavailable.rs
+++ b/crates/sim/src/unavailable.rs
@@ -1,4 +1,4 @@
-//! How long shards were out of service after the loss of their owner, and the group without a leader.
+//! Measures how long shards had no working owner after its loss, and the group no leader.
 
 use std::collections::BTreeMap;
 
@@ -12,24 +12,24 @@
 /// Unavailable times of one run in microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Unavailable {
-    /// For each loss of a server that held shards: from the loss until the last of them was held by a
-    /// server that is well.
+    /// For each loss of a server that held shards: time from the loss until the last of these shards was
+    /// held by a working server.
     pub owner_loss_us: Vec<Instant>,
-    /// Longest time in which no replica was allowed to act as the leader.
+    /// Longest time during which no replica held a leader lease.
     pub without_leader_us: Instant,
 }
 
 #[derive(Default)]
 struct Progress {
     owners: BTreeMap<Shard, String>,
-    out: BTreeMap<String, u32>,
-    /// Shards whose owner was lost, and when.
+    unavailable_servers: BTreeMap<String, u32>,
+    /// Shards without a working owner: time and number of the loss.
     lost: BTreeMap<Shard, (Instant, u64)>,
     losses: BTreeMap<u64, (Instant, Instant)>,
     next_loss: u64,
 }
 
-/// Takes the unavailable times of a run's records.
+/// Derives the unavailable times from a run's records.
 pub(crate) fn measure(records: &[HistoryRecord], without_leader_us: Instant) -> Unavailable {
     let mut progress = Progress::default();
     for record in records {
@@ -48,8 +48,8 @@
             HistoryEvent::Acquired(holding) => {
                 let shard = (holding.service.clone(), holding.shard);
                 let server = holding.server.to_string();
-                if !self.out.contains_key(&server) {
-                    self.mended(at, &shard);
+                if !self.unavailable_servers.contains_key(&server) {
+                    self.owner_restored(at, &shard);
                 }
                 self.owners.insert(shard, server);
             }
@@ -61,14 +61,14 @@
             }
             HistoryEvent::Killed(name)
             | HistoryEvent::Frozen(name)
-            | HistoryEvent::CutOff(name) => self.struck(at, name),
-            HistoryEvent::Returned(name) => self.returned(at, name),
+            | HistoryEvent::CutOff(name) => self.server_lost(at, name),
+            HistoryEvent::Returned(name) => self.server_returned(at, name),
             _ => {}
         }
     }
 
-    fn struck(&mut self, at: Instant, name: &str) {
-        self.out.insert(name.to_string(), 1);
+    fn server_lost(&mut self, at: Instant, name: &str) {
+        self.unavailable_servers.insert(name.to_string(), 1);
         let owned = self.owners.iter().filter(|(_, owner)| *owner == name);
         let owned: Vec<Shard> = owned.map(|(shard, _)| shard.clone()).collect();
         if owned.is_empty() {
@@ -80,17 +80,17 @@
         }
     }
 
-    /// A server that came back and still holds its shards serves them again.
-    fn returned(&mut self, at: Instant, name: &str) {
-        self.out.remove(name);
+    /// A returned server that still holds its shards serves them again.
+    fn server_returned(&mut self, at: Instant, name: &str) {
+        self.unavailable_servers.remove(name);
         let owned = self.owners.iter().filter(|(_, owner)| *owner == name);
         let owned: Vec<Shard> = owned.map(|(shard, _)| shard.clone()).collect();
         for shard in owned {
-            self.mended(at, &shard);
+            self.owner_restored(at, &shard);
         }
     }
 
-    fn mended(&mut self, at: Instant, shard: &Shard) {
+    fn owner_restored(&mut self, at: Instant, shard: &Shard) {
         if let Some((begun, loss)) = self.lost.remove(shard) {
             let entry = self.losses.entry(loss).or_insert((begun, at));
             entry.1 = entry.1.max(at);
@@ -98,21 +98,21 @@
     }
 }
 
-/// Median, 99th percentile and worst of some times.
+/// Median, 99th percentile and maximum of a set of times, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Percentiles {
-    /// Count of times.
+    /// Number of times.
     pub count: usize,
-    /// Median.
+    /// The median.
     pub median_us: Instant,
-    /// 99th percentile.
+    /// The 99th percentile.
     pub p99_us: Instant,
-    /// Largest.
+    /// The maximum.
     pub worst_us: Instant,
 }
 
 impl Percentiles {
-    /// Of these times, by nearest rank.
+    /// Percentiles of `times` by the nearest-rank method; all zero for an empty list.
     pub fn of(mut times: Vec<Instant>) -> Self {
         times.sort_unstable();
         let rank = |percent: usize| {
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,7 +1,6 @@
-//! The simulated world: processes, network, faults and the run's one clock.
+//! State of a run: processes, network, faults and the virtual clock.
 //!
-//! Invariant: a run is decided by its scenario, seed and guards alone; the same ones give the same
-//! records, byte for byte.
+//! Invariant: a run is determined by its scenario, seed and guards; equal ones give byte-identical records.
 
 use std::collections::BTreeMap;
 
@@ -15,49 +14,49 @@
 use crate::deployment::{CONTROLS, ROUTERS, SERVERS};
 use crate::history::Recorder;
 use crate::message::{CallerInput, Input, RouterInput};
-use crate::network::{Carriage, Network};
-use crate::process::{Body, Condition, Process};
+use crate::network::{Delivery, Network};
+use crate::process::{Condition, Process, ProcessState};
 use crate::random::{Random, Stream};
 use crate::removal::RunGuards;
 use crate::scenario::Scenario;
 
 mod controls;
-mod ending;
+mod external_actors;
 mod faults;
+mod final_checks;
+mod monitors;
 mod operations;
-mod people;
 mod processes;
 mod routers;
 mod servers;
-mod watch;
 
-pub use ending::Finding;
+pub use final_checks::Finding;
 
 use controls::ControlActor;
+use external_actors::Platform;
 use faults::Faults;
-use people::Platform;
 
-/// When the group is founded.
+/// Time at which operators request the founding of the group.
 const FOUNDING: Instant = 100 * MILLISECOND;
 
-/// When callers begin.
+/// Time of the first request of the callers.
 const CALLERS_BEGIN: Instant = 1_500 * MILLISECOND;
 
-/// Least length of a run.
-const LEAST_LENGTH: Instant = 13 * SECOND;
+/// Minimum length of a run.
+const MIN_RUN_LENGTH: Instant = 13 * SECOND;
 
-/// Time after the last fault in which everything should become well again.
-const QUIET: Instant = 6 * SECOND;
+/// Time after the end of the last fault within which the system must recover.
+const RECOVERY_TIME: Instant = 6 * SECOND;
 
-/// Time to the next look at a run's end.
-const LOOK_AGAIN: Instant = 300 * MILLISECOND;
+/// Interval between checks for recovery at the end of a run.
+const END_RECHECK_INTERVAL: Instant = 300 * MILLISECOND;
 
-/// Bound of the stated drift in percent, which the product is told.
+/// Bound of the clock drift in percent, as configured in the product.
 pub(crate) const DRIFT_PERCENT: u64 = 2;
 
-/// Something that is to happen.
+/// A scheduled event.
 enum Event {
-    /// An input reaches a process: any start of it, or one.
+    /// Delivers an input to a process, restricted to one incarnation if that is given.
     Deliver {
         to: Process,
         incarnation: Option<u64>,
@@ -67,20 +66,20 @@
     FaultBegins(usize),
     /// A fault ends.
     FaultEnds(usize),
-    /// A process that gave up is started again.
+    /// A process that stopped after a fatal error is started again.
     Restart(Process),
-    /// The run ends.
+    /// The run ends if the system has recovered.
     End,
 }
 
-/// Everything that exists in a run.
+/// State of a run.
 pub struct World {
     now: Instant,
     scenario: Scenario,
     guards: RunGuards,
     queue: crate::queue::EventQueue<Event>,
     network: Network,
-    bodies: BTreeMap<Process, Body<Input>>,
+    process_states: BTreeMap<Process, ProcessState<Input>>,
     controls: Vec<ControlActor>,
     servers: Vec<ServerActor>,
     routers: Vec<RouterActor>,
@@ -93,29 +92,29 @@
     recorder: Recorder,
     findings: Vec<Finding>,
     streams: BTreeMap<(Process, Process, u64), Instant>,
-    /// Control replica and its start behind each connection of a router.
+    /// Control replica and its incarnation at the other end of each connection of a router.
     peers_of_connections: BTreeMap<u64, (usize, u64)>,
     ends: Instant,
     seed: u64,
-    /// Last entry on each replica's disk.
+    /// Index of the last entry on each replica's disk.
     stored: BTreeMap<ReplicaId, LogIndex>,
-    looks: u32,
-    led_until: Instant,
+    end_checks: u32,
+    leader_lease_end: Instant,
     longest_without_leader: Instant,
 }
 
 impl World {
-    /// A world in which everything is about to start.
+    /// Sets up a run and schedules its first events.
     pub fn new(scenario: &Scenario, seed: u64, guards: RunGuards) -> Self {
         let faults = Faults::plan(scenario, seed);
-        let ends = (faults.last_end() + QUIET).max(LEAST_LENGTH);
+        let ends = (faults.last_end() + RECOVERY_TIME).max(MIN_RUN_LENGTH);
         let mut world = Self {
             now: 0,
             scenario: scenario.clone(),
             guards,
             queue: crate::queue::EventQueue::new(),
             network: Network::new(seed),
-            bodies: bodies(scenario, seed),
+            process_states: initial_process_states(scenario, seed),
             controls: Vec::new(),
             servers: Vec::new(),
             routers: Vec::new(),
@@ -132,8 +131,8 @@
             ends,
             seed,
             stored: BTreeMap::new(),
-            looks: 0,
-            led_until: 0,
+            end_checks: 0,
+            leader_lease_end: 0,
             longest_without_leader: 0,
         };
         world.start_everything();
@@ -164,7 +163,7 @@
         self.queue.push(self.ends, Event::End);
     }
 
-    /// Runs to the end.
+    /// Processes events until the run ends, then checks the final state.
     pub fn run(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
@@ -173,15 +172,15 @@
                     to,
                     incarnation,
                     input,
-                } => self.arrive(to, incarnation, input),
+                } => self.deliver(to, incarnation, input),
                 Event::FaultBegins(number) => self.begin_fault(number),
                 Event::FaultEnds(number) => self.end_fault(number),
-                Event::Restart(process) => self.start_again(process),
-                Event::End if self.may_end() => break,
-                Event::End => self.queue.push(self.now + LOOK_AGAIN, Event::End),
+                Event::Restart(process) => self.restart_process(process),
+                Event::End if self.is_end_reached() => break,
+                Event::End => self.queue.push(self.now + END_RECHECK_INTERVAL, Event::End),
             }
         }
-        self.look_at_the_end();
+        self.check_final_state();
     }
 
     /// The records and findings of a run that has ended.
@@ -189,16 +188,16 @@
         (self.recorder.into_records(), self.findings)
     }
 
-    fn arrive(&mut self, to: Process, incarnation: Option<u64>, input: Input) {
-        let Some(body) = self.bodies.get_mut(&to) else {
+    fn deliver(&mut self, to: Process, incarnation: Option<u64>, input: Input) {
+        let Some(state) = self.process_states.get_mut(&to) else {
             return self.handle(to, input);
         };
-        if incarnation.is_some_and(|wanted| wanted != body.incarnation) {
+        if incarnation.is_some_and(|wanted| wanted != state.incarnation) {
             return;
         }
-        match body.condition {
+        match state.condition {
             Condition::Running => self.handle(to, input),
-            Condition::Frozen => body.held.push_back(input),
+            Condition::Frozen => state.deferred.push_back(input),
             Condition::Down => self.refuse(to, input),
         }
     }
@@ -215,7 +214,7 @@
         }
     }
 
-    /// A machine whose process is down refuses connections.
+    /// Refuses a connection to a process that is down.
     fn refuse(&mut self, to: Process, input: Input) {
         match (to, input) {
             (Process::Server(number), Input::Server(input)) => self.refuse_server(number, input),
@@ -240,13 +239,13 @@
         self.push(self.now, to, Some(incarnation), input);
     }
 
-    /// Sends a message over the network, to any start of a process or to one.
+    /// Sends a message over the network, restricted to one incarnation of the receiver if that is given.
     fn send(
         &mut self,
         from: Process,
         to: Process,
         incarnation: Option<u64>,
-        how: Carriage,
+        how: Delivery,
         input: Input,
     ) {
         for at in self.network.send(self.now, from, to, how) {
@@ -254,7 +253,7 @@
         }
     }
 
-    /// Sends a frame on a byte stream, in order with the others on it.
+    /// Sends a frame on a byte stream, which preserves order; returns false when the stream is broken.
     fn send_in_order(
         &mut self,
         from: Process,
@@ -274,26 +273,30 @@
     }
 
     fn set_timer(&mut self, process: Process, local: std::time::Duration, input: Input) {
-        let Some(body) = self.bodies.get(&process) else {
+        let Some(state) = self.process_states.get(&process) else {
             return;
         };
-        let at = body.clock.moment(local);
-        let incarnation = body.incarnation;
+        let at = state.clock.instant_at(local);
+        let incarnation = state.incarnation;
         self.push(at, process, Some(incarnation), input);
     }
 
     fn local(&self, process: Process) -> std::time::Duration {
-        let body = self.bodies.get(&process);
-        body.map_or(std::time::Duration::ZERO, |body| body.clock.local(self.now))
+        let state = self.process_states.get(&process);
+        state.map_or(std::time::Duration::ZERO, |state| {
+            state.clock.local(self.now)
+        })
     }
 
     fn incarnation(&self, process: Process) -> u64 {
-        self.bodies.get(&process).map_or(0, |body| body.incarnation)
+        self.process_states
+            .get(&process)
+            .map_or(0, |state| state.incarnation)
     }
 
     fn condition(&self, process: Process) -> Condition {
-        let body = self.bodies.get(&process);
-        body.map_or(Condition::Running, |body| body.condition)
+        let state = self.process_states.get(&process);
+        state.map_or(Condition::Running, |state| state.condition)
     }
 
     fn record(&mut self, event: HistoryEvent) {
@@ -301,9 +304,12 @@
     }
 }
 
-fn bodies(scenario: &Scenario, seed: u64) -> BTreeMap<Process, Body<Input>> {
+fn initial_process_states(
+    scenario: &Scenario,
+    seed: u64,
+) -> BTreeMap<Process, ProcessState<Input>> {
     let mut random = Random::new(seed, Stream::Clocks);
-    let mut bodies = BTreeMap::new();
+    let mut process_states = BTreeMap::new();
     let controls = (0..CONTROLS).map(Process::Control);
     let servers = (0..SERVERS).map(Process::Server);
     let routers = (0..ROUTERS).map(Process::Router);
@@ -312,12 +318,13 @@
         if matches!(process, Process::Server(_)) {
             rate_ppm = rate_ppm * (100 - scenario.slow_servers_percent.min(99)) / 100;
         }
-        bodies.insert(process, Body::new(0, rate_ppm));
+        process_states.insert(process, ProcessState::new(0, rate_ppm));
     }
-    bodies
+    process_states
 }
 
-/// A rate within the stated bound; often at one of its ends, where it hurts most.
+/// A clock rate within the drift bound. Two of three draws take one of its ends, where violations are most
+/// likely.
 fn clock_rate(random: &mut Random) -> u64 {
     const SLOWEST: u64 = 1_000_000;
     let fastest = SLOWEST + SLOWEST * DRIFT_PERCENT / 100;
--- a/crates/sim/src/world/controls.rs
+++ b/crates/sim/src/world/controls.rs
@@ -13,38 +13,38 @@
 };
 use grebepin_storage::{Crash, SimulatedDisk};
 
-use super::ending::Finding;
+use super::final_checks::Finding;
 use super::routers::router_of;
 use super::{Event, World, DRIFT_PERCENT};
 use crate::clock::{Instant, MILLISECOND};
 use crate::deployment::{self, control_address, name, Port, CONTROLS};
-use crate::message::{Asker, ControlInput, Input, OperatorInput, RouterInput, ServerInput};
-use crate::network::Carriage;
+use crate::message::{ControlInput, Input, OperatorInput, Requester, RouterInput, ServerInput};
+use crate::network::Delivery;
 use crate::process::{Condition, Process};
 
 /// The simulated control group.
 pub(super) const GROUP: GroupId = GroupId(1);
 
-/// Time that a control replica waits for a back end.
+/// Timeout of a call of a control replica to a back end.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Least time between two turns of a control replica's timer.
-const LEAST_STEP: Instant = 2 * MILLISECOND;
+/// Minimum time between two timer wake-ups of a control replica.
+const MIN_WAKE_INTERVAL: Instant = 2 * MILLISECOND;
 
-/// Pause before a supervisor starts a process again that gave up.
-const SUPERVISOR_PAUSE: Instant = 500 * MILLISECOND;
+/// Delay before a supervisor restarts a process that stopped after a fatal error.
+const SUPERVISOR_RESTART_DELAY: Instant = 500 * MILLISECOND;
 
-/// A control replica and what the simulator keeps of it.
+/// A control replica and its simulator state.
 pub(super) struct ControlActor {
     pub(super) node: Option<ControlNode<SimulatedDisk>>,
     pub(super) disk: SimulatedDisk,
     next_wake: Option<Instant>,
     broken: BTreeSet<ConnectionId>,
-    /// Operators by reply.
+    /// Job and try number of the operator that waits for each reply.
     replies: BTreeMap<ReplyId, (usize, u32)>,
     next_reply: u64,
-    pub(super) believed: BTreeMap<(ServiceName, ShardId), Epoch>,
-    pub(super) believed_index: LogIndex,
+    pub(super) recorded_epochs: BTreeMap<(ServiceName, ShardId), Epoch>,
+    pub(super) recorded_index: LogIndex,
     pub(super) committed: LogIndex,
 }
 
@@ -58,14 +58,15 @@
             broken: BTreeSet::new(),
             replies: BTreeMap::new(),
             next_reply: 0,
-            believed: BTreeMap::new(),
-            believed_index: LogIndex(0),
+            recorded_epochs: BTreeMap::new(),
+            recorded_index: LogIndex(0),
             committed: LogIndex(0),
         });
         self.open_control(number);
     }
 
-    /// Opens a replica on its disk; a damaged folder is moved away, as its operators would.
+    /// Opens a replica on its disk. A damaged directory is reported and wiped, like an operator who moves it
+    /// away.
     pub(super) fn open_control(&mut self, number: usize) {
         let process = Process::Control(number);
         let now = self.local(process);
@@ -78,7 +79,7 @@
         let opened = ControlNode::open(config.clone(), actor.disk.clone(), now);
         let opened = match opened {
             Err(error) if error.is_damage() => {
-                let explanation = format!("{} found its folder damaged: {error}", process.name());
+                let explanation = format!("{}: damaged data directory: {error}", process.name());
                 self.findings
                     .push(Finding::new(self.now, "disk", explanation));
                 self.controls[number].disk.wipe();
@@ -91,7 +92,7 @@
                 self.controls[number].node = Some(node);
                 self.deliver_now(process, Input::Control(ControlInput::Wake));
             }
-            Err(error) => self.give_up(number, &error),
+            Err(error) => self.stop_failed_node(number, &error),
         }
     }
 
@@ -121,7 +122,7 @@
         }
     }
 
-    /// The members that found the group.
+    /// The founding members of the group: all control replicas, as voters.
     pub(super) fn founding_members(&self) -> Vec<Member> {
         let controls = self.controls.iter().enumerate();
         controls
@@ -138,7 +139,7 @@
             .collect()
     }
 
-    /// The replica that leads and serves, if there is one; the one of the highest term of several.
+    /// The running replica that serves as leader, if any; of several the one with the highest term.
     pub(super) fn leader(&self) -> Option<usize> {
         let controls = self.controls.iter().enumerate();
         let serving = controls.filter_map(|(number, actor)| {
@@ -159,14 +160,14 @@
             return;
         };
         let outputs = node.handle(now, vec![input]);
-        self.note_beliefs(number);
+        self.record_table_changes(number);
         self.check_commit(number);
-        self.note_voters(number);
+        self.update_joining_replicas(number);
         for output in outputs {
             self.carry_out(number, output);
         }
         self.check_leases();
-        self.note_leadership();
+        self.update_leaderless_time();
         self.schedule_wake(number);
     }
 
@@ -196,13 +197,13 @@
         let Some(node) = self.controls[number].node.as_ref() else {
             return;
         };
-        let Some(body) = self.bodies.get(&process) else {
+        let Some(state) = self.process_states.get(&process) else {
             return;
         };
-        let wake = body
+        let wake = state
             .clock
-            .moment(node.next_wake())
-            .max(self.now + LEAST_STEP);
+            .instant_at(node.next_wake())
+            .max(self.now + MIN_WAKE_INTERVAL);
         if self.controls[number]
             .next_wake
             .is_some_and(|known| known <= wake)
@@ -221,7 +222,7 @@
             NodeOutput::Peer { address, frame } => {
                 if let Some(to) = deployment::process_at(&address) {
                     let input = Input::Control(ControlInput::Peer(frame));
-                    self.send(process, to, None, Carriage::Datagram, input);
+                    self.send(process, to, None, Delivery::Datagram, input);
                 }
             }
             NodeOutput::BackEnd {
@@ -236,11 +237,11 @@
             }
             NodeOutput::AdminReply { reply, result } => self.answer_operator(number, reply, result),
             NodeOutput::Notice(_) => {}
-            NodeOutput::Failed(error) => self.give_up(number, &error),
+            NodeOutput::Failed(error) => self.stop_failed_node(number, &error),
         }
     }
 
-    /// Whether the frame is on its way; a stream that broke once carries nothing more.
+    /// Sends a frame to a router; returns false if the stream is broken, which is permanent.
     fn send_to_router(
         &mut self,
         number: usize,
@@ -270,7 +271,7 @@
     ) {
         let process = Process::Control(number);
         if let BackEndRequest::Grant(request) = &request {
-            self.note_acknowledged(number, address, request);
+            self.record_acknowledgements(number, address, request);
         }
         let timeout = Input::Control(ControlInput::CallEnded {
             call,
@@ -280,7 +281,7 @@
         let Some(to) = deployment::process_at(address) else {
             return;
         };
-        let from = Asker {
+        let from = Requester {
             number,
             incarnation: self.incarnation(process),
         };
@@ -289,7 +290,7 @@
             call,
             request,
         });
-        self.send(process, to, None, Carriage::Datagram, input);
+        self.send(process, to, None, Delivery::Datagram, input);
     }
 
     pub(super) fn ask_control(
@@ -310,7 +311,7 @@
             Process::Operators,
             to,
             Some(incarnation),
-            Carriage::Call,
+            Delivery::Call,
             input,
         );
     }
@@ -325,7 +326,7 @@
             return;
         };
         if let Ok(answer) = &result {
-            self.note_answer(job, answer);
+            self.record_admin_answer(job, answer);
         }
         if self.faults.lose_answer() {
             return;
@@ -336,22 +337,22 @@
             result,
         });
         let from = Process::Control(number);
-        self.send(from, Process::Operators, None, Carriage::Call, input);
+        self.send(from, Process::Operators, None, Delivery::Call, input);
     }
 
-    fn note_answer(&mut self, job: usize, answer: &AdminAnswer) {
+    fn record_admin_answer(&mut self, job: usize, answer: &AdminAnswer) {
         match answer {
             AdminAnswer::Rolled(rolled) => self.record(HistoryEvent::Accepted(BundleRecord {
                 version: rolled.version,
                 digest: rolled.digest.clone(),
                 index: rolled.index,
             })),
-            AdminAnswer::Drained(_) => self.note_drained(job),
+            AdminAnswer::Drained(_) => self.record_drain(job),
             _ => {}
         }
     }
 
-    /// A replica whose process is down refuses connections.
+    /// Refuses a connection to a control replica whose process is down.
     pub(super) fn refuse_control(&mut self, number: usize, input: ControlInput) {
         if let ControlInput::Router {
             router, connection, ..
@@ -359,28 +360,28 @@
         {
             let closed = Input::Router(RouterInput::Closed(connection.0));
             let from = Process::Control(number);
-            self.send(from, Process::Router(router), None, Carriage::Call, closed);
+            self.send(from, Process::Router(router), None, Delivery::Call, closed);
         }
     }
 
-    /// A replica that can't keep its promises stops; its supervisor starts it again.
-    fn give_up(&mut self, number: usize, error: &NodeError) {
+    /// Stops a replica after a fatal error; its supervisor restarts it.
+    fn stop_failed_node(&mut self, number: usize, error: &NodeError) {
         let process = Process::Control(number);
-        let explanation = format!("{} gave up: {error}", process.name());
+        let explanation = format!("{} stopped after a fatal error: {error}", process.name());
         self.findings
             .push(Finding::new(self.now, "gave-up", explanation));
         self.controls[number].node = None;
         self.controls[number].disk.crash(Crash::KeepAll);
-        if let Some(body) = self.bodies.get_mut(&process) {
-            body.condition = Condition::Down;
+        if let Some(state) = self.process_states.get_mut(&process) {
+            state.condition = Condition::Down;
         }
         self.record(HistoryEvent::Killed(process.name()));
         self.queue
-            .push(self.now + SUPERVISOR_PAUSE, Event::Restart(process));
+            .push(self.now + SUPERVISOR_RESTART_DELAY, Event::Restart(process));
     }
 }
 
-/// The name under which a bundle's service is known.
+/// Name of the simulated service.
 pub(super) fn service_name() -> ServiceName {
     name(deployment::SERVICE)
 }
--- a/crates/sim/src/world/people.rs
+++ b/crates/sim/src/world/external_actors.rs
@@ -1,4 +1,4 @@
-//! Callers, operators and the platform, behind the simulated network.
+//! Connects callers, operators and the platform to the simulated network.
 
 use std::collections::VecDeque;
 
@@ -6,58 +6,72 @@
 
 use super::{World, FOUNDING};
 use crate::actors::callers::CallerEffect;
-use crate::actors::operators::{OperatorEffect, Wish};
+use crate::actors::operators::{OperatorAction, OperatorEffect};
 use crate::clock::{Instant, MILLISECOND, SECOND};
 use crate::deployment::{server_name, CONTROLS, SERVERS};
 use crate::message::{CallerInput, ControlInput, Input, OperatorInput, RouterInput};
-use crate::network::Carriage;
+use crate::network::Delivery;
 use crate::process::{Condition, Process};
 
-/// Time between two lists of the platform.
+/// Interval between two machine lists of the platform.
 const PLATFORM_INTERVAL: Instant = 500 * MILLISECOND;
 
-/// How far the platform's list lags.
+/// Age of the platform's machine list without faults.
 const USUAL_LAG: Instant = SECOND;
 
-/// Lies of a stale list, in percent of its entries.
-const LIES_PERCENT: u64 = 25;
+/// Probability in percent that an entry of a stale list is falsely reported as gone.
+const FALSE_ENTRIES_PERCENT: u64 = 25;
 
-/// When bundles are rolled in every run, and the share of the new side.
+/// Bundles rolled in every run: start in ms and share of the new side in percent.
 const ROLLS: [(Instant, u32); 3] = [(600, 30), (3_800, 60), (6_800, 45)];
 
-/// The platform's view of its machines.
+/// State of the platform: its past machine lists.
 #[derive(Default)]
 pub(super) struct Platform {
     seen: VecDeque<(Instant, MachineList)>,
-    /// How stale its list is, in a fault.
+    /// Age of its list while a fault makes it stale.
     pub(super) stale: Option<Instant>,
 }
 
 impl World {
-    /// Founds the group and rolls the bundles that every run has.
+    /// Schedules the founding of the group and the bundles rolled in every run.
     pub(super) fn begin_operations(&mut self) {
         let members = self.founding_members();
         for control in 0..CONTROLS {
             let members = members.clone();
-            let wish = Wish::Found { control, members };
-            self.add_wish(wish, control, FOUNDING);
+            let action = OperatorAction::Found { control, members };
+            self.add_operator_action(action, control, FOUNDING);
         }
         for (number, (at, new_share)) in ROLLS.into_iter().enumerate() {
             let note = format!("roll {number}");
-            self.add_wish(Wish::Roll { new_share, note }, number, at * MILLISECOND);
+            self.add_operator_action(
+                OperatorAction::Roll { new_share, note },
+                number,
+                at * MILLISECOND,
+            );
         }
     }
 
-    /// Begins an operator's job; returns its number.
-    pub(super) fn add_wish(&mut self, wish: Wish, target: usize, at: Instant) -> usize {
-        let (job, effect) = self.operators.add(wish, target % CONTROLS, at);
+    /// Schedules a job of an operator and returns its number.
+    pub(super) fn add_operator_action(
+        &mut self,
+        action: OperatorAction,
+        target: usize,
+        at: Instant,
+    ) -> usize {
+        let (job, effect) = self.operators.add(action, target % CONTROLS, at);
         self.carry_out_operator(effect);
         job
     }
 
-    /// Begins an operator's job that waits until another one is done.
-    pub(super) fn add_wish_after(&mut self, wish: Wish, after: usize, at: Instant) -> usize {
-        let (job, effect) = self.operators.add_after(wish, after, at);
+    /// Schedules a job of an operator that waits until the job `after` is done.
+    pub(super) fn add_operator_action_after(
+        &mut self,
+        action: OperatorAction,
+        after: usize,
+        at: Instant,
+    ) -> usize {
+        let (job, effect) = self.operators.add_after(action, after, at);
         self.carry_out_operator(effect);
         job
     }
@@ -73,13 +87,13 @@
 
     fn carry_out_operator(&mut self, effect: OperatorEffect) {
         match effect {
-            OperatorEffect::Ask {
+            OperatorEffect::Send {
                 job,
                 try_number,
                 control,
                 request,
             } => {
-                self.note_end_of_drain_asked(job);
+                self.record_drain_end_request(job);
                 self.ask_control(job, try_number, control, request);
             }
             OperatorEffect::Timer { at, input } => {
@@ -89,30 +103,31 @@
         }
     }
 
-    /// The end of a drain may take force from its asking on, also when its answer is lost with a leader.
-    fn note_end_of_drain_asked(&mut self, job: usize) {
-        if let Some(Wish::Drain {
+    /// Records the request to end a drain when it is sent: it may take effect from then on, even if the
+    /// response is lost with a leader.
+    fn record_drain_end_request(&mut self, job: usize) {
+        if let Some(OperatorAction::Drain {
             server,
             draining: false,
-        }) = self.operators.wish(job)
+        }) = self.operators.action(job)
         {
             let server = server_name(*server);
             self.record(HistoryEvent::Staying(server));
         }
     }
 
-    /// An operator's drain was accepted by the control group. While the end of a drain of the same
-    /// server is asked for and not answered, either may come last, and nothing is known.
-    pub(super) fn note_drained(&mut self, job: usize) {
-        let Some(Wish::Drain {
+    /// Records a drain that the control group accepted. Nothing is recorded while a request to end the
+    /// drain of the same server is unanswered, since either request may be applied last.
+    pub(super) fn record_drain(&mut self, job: usize) {
+        let Some(OperatorAction::Drain {
             server,
             draining: true,
-        }) = self.operators.wish(job)
+        }) = self.operators.action(job)
         else {
             return;
         };
         let server = *server;
-        if !self.operators.asks_to_stay(server) {
+        if !self.operators.has_pending_drain_end(server) {
             self.record(HistoryEvent::Leaving(server_name(server)));
         }
     }
@@ -120,10 +135,10 @@
     pub(super) fn run_callers(&mut self, input: CallerInput) {
         for effect in self.callers.handle(self.now, input) {
             match effect {
-                CallerEffect::Ask { router, request } => {
+                CallerEffect::Send { router, request } => {
                     let to = Process::Router(router);
-                    let input = Input::Router(RouterInput::Asked(request));
-                    self.send(Process::Callers, to, None, Carriage::Call, input);
+                    let input = Input::Router(RouterInput::Request(request));
+                    self.send(Process::Callers, to, None, Delivery::Call, input);
                 }
                 CallerEffect::Timer { at, input } => {
                     self.push(at, Process::Callers, None, Input::Callers(input));
@@ -142,27 +157,27 @@
         let known = seen.clone().find(|(at, _)| *at <= as_of);
         if let Some((_, list)) = known {
             let list = list.clone();
-            self.tell_machines(&list);
+            self.send_machine_list(&list);
         }
         let next = self.now + PLATFORM_INTERVAL;
         self.push(next, Process::Platform, None, Input::PlatformTick);
     }
 
-    fn tell_machines(&mut self, list: &MachineList) {
+    fn send_machine_list(&mut self, list: &MachineList) {
         for control in 0..CONTROLS {
             let mut list = list.clone();
             if self.platform.stale.is_some() {
-                self.falsify(&mut list);
+                self.add_false_entries(&mut list);
             }
             let to = Process::Control(control);
             let input = Input::Control(ControlInput::Machines(list));
-            self.send(Process::Platform, to, None, Carriage::Call, input);
+            self.send(Process::Platform, to, None, Delivery::Call, input);
         }
     }
 
-    fn falsify(&mut self, list: &mut MachineList) {
+    fn add_false_entries(&mut self, list: &mut MachineList) {
         for machine in &mut list.machines {
-            if self.operator_draws.chance(LIES_PERCENT) {
+            if self.operator_draws.chance(FALSE_ENTRIES_PERCENT) {
                 machine.state = MachineState::Gone;
             }
         }
--- a/crates/sim/src/world/faults.rs
+++ b/crates/sim/src/world/faults.rs
@@ -1,6 +1,6 @@
-//! Faults: when they strike, whom, and what they do.
+//! Fault injection: times, targets and effects of faults.
 //!
-//! Invariant: every fault that began ends, so that at the end of a run nothing is broken any more.
+//! Invariant: every fault that starts also ends, so that no fault is in force at the end of a run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,16 +15,16 @@
 use crate::random::{Random, Stream};
 use crate::scenario::{Fault, FaultKind, Scenario, Target};
 
-/// What a fault does while it is in force.
+/// Effect of a fault in force that must be undone when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Active {
+pub(super) enum ActiveFault {
     Nothing,
     Down(Process),
     Frozen(Process),
     Network(NetworkFault),
-    Misleads(usize),
-    Sheds(usize),
-    Crosses(usize),
+    UnderreportsLoad(usize),
+    ShedsAllWork(usize),
+    MismatchesAnswers(usize),
     RefusesCalls(usize),
     StaleMachines,
     Leaving {
@@ -34,12 +34,12 @@
     },
 }
 
-/// A fault with its times.
+/// A fault with its start and end.
 pub(super) struct Planned {
     fault: Fault,
     begins: Instant,
     ends: Instant,
-    pub(super) active: Active,
+    pub(super) active: ActiveFault,
 }
 
 /// The faults of a run.
@@ -49,14 +49,14 @@
     answers_to_lose: u64,
     last_control: Option<usize>,
     last_server: Option<usize>,
-    /// Control replicas that lost their disks and don't count yet.
+    /// Control replicas that lost their disks and are not yet voters again.
     pub(super) joining: BTreeSet<usize>,
-    /// Faults in force on each process, in the order of [`Process`].
+    /// Number of faults in force on each process.
     pub(super) in_force: BTreeMap<Process, u32>,
 }
 
 impl Faults {
-    /// Draws the times of a scenario's faults.
+    /// Draws start and duration of a scenario's faults.
     pub(super) fn plan(scenario: &Scenario, seed: u64) -> Self {
         let mut random = Random::new(seed, Stream::Faults);
         let planned = scenario.faults.iter().map(|fault| {
@@ -65,7 +65,7 @@
                 fault: fault.clone(),
                 begins,
                 ends: begins + random.range(fault.lasts) * MILLISECOND,
-                active: Active::Nothing,
+                active: ActiveFault::Nothing,
             }
         });
         Self {
@@ -79,13 +79,13 @@
         }
     }
 
-    /// When the last fault ends.
+    /// End of the last fault; 0 without faults.
     pub(super) fn last_end(&self) -> Instant {
         let ends = self.planned.iter().map(|planned| planned.ends);
         ends.max().unwrap_or(0)
     }
 
-    /// Number, begin and end of each fault.
+    /// Number, start and end of each fault.
     pub(super) fn times(&self) -> Vec<(usize, Instant, Instant)> {
         let planned = self.planned.iter().enumerate();
         planned
@@ -93,7 +93,7 @@
             .collect()
     }
 
-    /// Whether the next answer to an operator is lost.
+    /// Whether the next response to an operator is lost; counts it.
     pub(super) fn lose_answer(&mut self) -> bool {
         let lose = self.answers_to_lose > 0;
         self.answers_to_lose = self.answers_to_lose.saturating_sub(1);
@@ -104,36 +104,41 @@
 impl World {
     pub(super) fn begin_fault(&mut self, number: usize) {
         let fault = self.faults.planned[number].fault.clone();
-        let active = self.strike(number, &fault);
+        let active = self.start_fault(number, &fault);
         self.faults.planned[number].active = active;
     }
 
-    fn strike(&mut self, number: usize, fault: &Fault) -> Active {
+    fn start_fault(&mut self, number: usize, fault: &Fault) -> ActiveFault {
         match fault.kind {
             FaultKind::Noisy => self.begin_network(NetworkFault::Noisy),
-            FaultKind::Race => self.race(),
+            FaultKind::Race => self.submit_racing_bundles(),
             FaultKind::Roll => self.roll(fault.amount as u32),
             FaultKind::Churn => self.churn(fault.amount),
             FaultKind::LoseAnswers => {
                 self.faults.answers_to_lose += fault.amount;
-                Active::Nothing
+                ActiveFault::Nothing
             }
             FaultKind::StaleMachines => {
                 self.platform.stale = Some(fault.amount * MILLISECOND);
-                Active::StaleMachines
+                ActiveFault::StaleMachines
             }
             FaultKind::CutZone => {
                 let zone = self.faults.random.pick(ZONES.len());
                 self.begin_network(NetworkFault::ZoneCut(zone))
             }
             _ => match self.choose(fault.target) {
-                Some(process) => self.strike_process(number, fault, process),
-                None => Active::Nothing,
+                Some(process) => self.start_process_fault(number, fault, process),
+                None => ActiveFault::Nothing,
             },
         }
     }
 
-    fn strike_process(&mut self, number: usize, fault: &Fault, process: Process) -> Active {
+    fn start_process_fault(
+        &mut self,
+        number: usize,
+        fault: &Fault,
+        process: Process,
+    ) -> ActiveFault {
         match (fault.kind, process) {
             (FaultKind::Kill, _) => self.kill(process, Crash::KeepAll),
             (FaultKind::PowerLoss, _) => self.kill(process, Crash::LoseUnsynced),
@@ -154,27 +159,27 @@
             }
             (FaultKind::RefuseCalls, Process::Server(server)) => {
                 self.servers[server].refuses_calls = true;
-                Active::RefusesCalls(server)
+                ActiveFault::RefusesCalls(server)
             }
             (FaultKind::Slow, _) => {
                 let most = fault.amount * MILLISECOND;
                 self.begin_network(NetworkFault::Slow(process, most))
             }
             (FaultKind::Mislead, Process::Server(server)) => {
-                self.servers[server].misleads = true;
-                Active::Misleads(server)
+                self.servers[server].underreports_load = true;
+                ActiveFault::UnderreportsLoad(server)
             }
             (FaultKind::Shed, Process::Server(server)) => {
-                self.servers[server].sheds = true;
-                Active::Sheds(server)
+                self.servers[server].sheds_all_work = true;
+                ActiveFault::ShedsAllWork(server)
             }
             (FaultKind::CrossAnswers, Process::Server(server)) => {
-                self.servers[server].crosses = true;
-                Active::Crosses(server)
+                self.servers[server].mismatches_answers = true;
+                ActiveFault::MismatchesAnswers(server)
             }
             (FaultKind::PlannedStop, Process::Server(server)) => self.begin_drain(number, server),
-            (FaultKind::Leave, Process::Server(server)) => self.tell_to_leave(number, server),
-            _ => Active::Nothing,
+            (FaultKind::Leave, Process::Server(server)) => self.request_leave(number, server),
+            _ => ActiveFault::Nothing,
         }
     }
 
@@ -219,17 +224,19 @@
 
     pub(super) fn end_fault(&mut self, number: usize) {
         let planned = &mut self.faults.planned[number];
-        match std::mem::replace(&mut planned.active, Active::Nothing) {
-            Active::Nothing => {}
-            Active::Down(process) => self.revive(process),
-            Active::Frozen(process) => self.thaw(process),
-            Active::Network(fault) => self.end_network(fault),
-            Active::Misleads(server) => self.servers[server].misleads = false,
-            Active::Sheds(server) => self.servers[server].sheds = false,
-            Active::Crosses(server) => self.servers[server].crosses = false,
-            Active::RefusesCalls(server) => self.servers[server].refuses_calls = false,
-            Active::StaleMachines => self.platform.stale = None,
-            Active::Leaving {
+        match std::mem::replace(&mut planned.active, ActiveFault::Nothing) {
+            ActiveFault::Nothing => {}
+            ActiveFault::Down(process) => self.end_kill(process),
+            ActiveFault::Frozen(process) => self.end_freeze(process),
+            ActiveFault::Network(fault) => self.end_network(fault),
+            ActiveFault::UnderreportsLoad(server) => self.servers[server].underreports_load = false,
+            ActiveFault::ShedsAllWork(server) => self.servers[server].sheds_all_work = false,
+            ActiveFault::MismatchesAnswers(server) => {
+                self.servers[server].mismatches_answers = false
+            }
+            ActiveFault::RefusesCalls(server) => self.servers[server].refuses_calls = false,
+            ActiveFault::StaleMachines => self.platform.stale = None,
+            ActiveFault::Leaving {
                 server,
                 job,
                 stopped,
@@ -237,23 +244,23 @@
         }
     }
 
-    fn begin_network(&mut self, fault: NetworkFault) -> Active {
+    fn begin_network(&mut self, fault: NetworkFault) -> ActiveFault {
         self.network.begin(fault);
         for process in cut_off_by(fault) {
-            self.note_struck(process, HistoryEvent::CutOff(process.name()));
+            self.record_fault_start(process, HistoryEvent::CutOff(process.name()));
         }
-        Active::Network(fault)
+        ActiveFault::Network(fault)
     }
 
     fn end_network(&mut self, fault: NetworkFault) {
         self.network.end(fault);
         for process in cut_off_by(fault) {
-            self.note_mended(process);
+            self.record_fault_end(process);
         }
     }
 }
 
-/// Processes that a fault of the network keeps from doing their part.
+/// Processes that a network fault counts as cut off.
 fn cut_off_by(fault: NetworkFault) -> Vec<Process> {
     match fault {
         NetworkFault::Isolated(process)
--- a/crates/sim/src/world/ending.rs
+++ b/crates/sim/src/world/final_checks.rs
@@ -1,4 +1,4 @@
-//! The end of a run: is everything well again, and do the logs on the disks agree?
+//! Checks at the end of a run: the system has recovered, and the logs on the disks agree.
 
 use std::collections::BTreeMap;
 
@@ -16,28 +16,29 @@
 use crate::deployment::{server_name, CONTROLS, SERVERS, SHARDS};
 use crate::process::Process;
 
-/// Requests to one shard in a run's last stretch of which one must be answered. A shard that moves
-/// as planned waits for its longest request, so that not all of them can be.
-const REQUESTS_TO_JUDGE: u64 = 4;
+/// Minimum number of requests to a shard in the final period from which on at least one must be answered.
+/// A planned move waits for the longest running request of the shard, so that not every request can succeed.
+const MIN_REQUESTS_PER_SHARD: u64 = 4;
 
-/// Looks at the end of a run of which one must find all well.
-const LOOKS: u32 = 4;
+/// Checks for recovery at the end of a run before it ends as not recovered. At any one check a shard may be
+/// moving to another owner.
+const MAX_END_CHECKS: u32 = 4;
 
-/// Something that no promise names and that must not be.
+/// A failure that no promise of the checkers covers.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Finding {
-    /// When, in microseconds.
+    /// Time since the start of the run, in microseconds.
     pub at_us: Instant,
-    /// Kind, in a word.
+    /// Kind of failure, one of a fixed set of words.
     pub kind: &'static str,
-    /// What happened, for people.
+    /// Description in English.
     pub explanation: String,
 }
 
 impl Finding {
-    /// Two replicas may act as leaders at the same moment.
+    /// Two replicas held a leader lease at the same time.
     pub const TWO_LEADERS: &'static str = "two-leaders";
-    /// At the end of the run not everything was well again.
+    /// The system had not recovered at the end of the run.
     pub const NOT_RECOVERED: &'static str = "not-recovered";
     /// A leader committed an entry that a majority of its voters does not have.
     pub const COMMITTED_WITHOUT_MAJORITY: &'static str = "committed-without-majority";
@@ -53,7 +54,7 @@
     }
 }
 
-/// What a replica's disk holds at the end.
+/// Log on a replica's disk at the end of a run.
 struct FinalLog {
     replica: ReplicaId,
     commit: LogIndex,
@@ -62,15 +63,15 @@
 }
 
 impl World {
-    pub(super) fn look_at_the_end(&mut self) {
+    pub(super) fn check_final_state(&mut self) {
         for server in 0..SERVERS {
             self.flush_server(server);
         }
         for problem in self.owner_problems() {
             self.not_recovered(problem);
         }
-        self.look_at_jobs();
-        self.look_at_last_requests();
+        self.check_unfinished_jobs();
+        self.check_final_requests();
         let logs: Vec<FinalLog> = (0..CONTROLS)
             .filter_map(|number| self.final_log(number))
             .collect();
@@ -85,20 +86,19 @@
         self.findings.push(finding);
     }
 
-    /// Whether the run may end: all is well, or was not at several looks. At one look a shard may be
-    /// on its way to another owner.
-    pub(super) fn may_end(&mut self) -> bool {
-        self.looks += 1;
-        self.looks >= LOOKS || self.owner_problems().is_empty()
+    /// Whether the run may end: the system has recovered, or [`MAX_END_CHECKS`] checks are done.
+    pub(super) fn is_end_reached(&mut self) -> bool {
+        self.end_checks += 1;
+        self.end_checks >= MAX_END_CHECKS || self.owner_problems().is_empty()
     }
 
-    /// Every shard has an owner that holds it, and every router knows it; else what is wrong.
+    /// Lists shards that their owners do not hold and routers without the current table; empty after recovery.
     fn owner_problems(&self) -> Vec<String> {
         let leader = self
             .leader()
             .and_then(|leader| self.controls[leader].node.as_ref());
         let Some(node) = leader else {
-            return vec!["no control replica leads".to_string()];
+            return vec!["no control replica serves as leader".to_string()];
         };
         let table = node.state().table();
         let mut problems = Vec::new();
@@ -142,21 +142,22 @@
         self.servers[number].held_epoch(&key) == epoch
     }
 
-    fn look_at_jobs(&mut self) {
+    fn check_unfinished_jobs(&mut self) {
         let unfinished = self.operators.unfinished();
         if unfinished > 0 {
             self.not_recovered(format!("{unfinished} requests of operators have no answer"));
         }
     }
 
-    /// No shard is left without answers.
-    fn look_at_last_requests(&mut self) {
-        let last = self.callers.last_requests().iter();
-        let silent =
-            last.filter(|(_, (sent, answered))| *sent >= REQUESTS_TO_JUDGE && *answered == 0);
-        let silent: Vec<(ShardId, u64)> =
-            silent.map(|(shard, (sent, _))| (*shard, *sent)).collect();
-        for (shard, sent) in silent {
+    /// Reports shards without any answered request in the final period.
+    fn check_final_requests(&mut self) {
+        let last = self.callers.final_requests().iter();
+        let unanswered =
+            last.filter(|(_, (sent, answered))| *sent >= MIN_REQUESTS_PER_SHARD && *answered == 0);
+        let unanswered: Vec<(ShardId, u64)> = unanswered
+            .map(|(shard, (sent, _))| (*shard, *sent))
+            .collect();
+        for (shard, sent) in unanswered {
             self.not_recovered(format!(
                 "none of the last {sent} requests to shard {shard} was answered"
             ));
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Committed entries of one index are the same everywhere.
+    /// Reports committed entries whose terms differ between replicas at the same index.
     fn compare_logs(&mut self, logs: &[FinalLog]) {
         let mut known: BTreeMap<LogIndex, (Term, ReplicaId)> = BTreeMap::new();
         for log in logs {
@@ -209,8 +210,8 @@
         }
     }
 
-    /// Applies the log that is left to an empty state, and records each assignment with the epoch
-    /// that it replaced. A log whose beginning is in a snapshot is left out.
+    /// Applies a log to an empty state and records each assignment with the epoch that it replaced. A log that
+    /// starts after a snapshot is skipped.
     fn replay(&mut self, log: &FinalLog) {
         if log.after_snapshot {
             return;
@@ -238,7 +239,7 @@
                     }));
                 }
             } else {
-                // A new start of a server gives its shards fresh epochs.
+                // A restart of a server assigns new epochs to its shards.
                 for (shard, epoch) in current_epochs(&state) {
                     epochs.insert(shard, epoch);
                 }
--- a/crates/sim/src/world/watch.rs
+++ b/crates/sim/src/world/monitors.rs
@@ -1,6 +1,6 @@
-//! What the simulator watches at control replicas: acknowledgements, beliefs, leases and commits.
+//! Observes control replicas: acknowledgements, ownership tables, leader leases and commits.
 //!
-//! Invariant: it reads the product's state and changes nothing.
+//! Invariant: the product's state is only read, never changed.
 
 use grebepin_consensus::Role;
 use grebepin_control::ControlNode;
@@ -9,15 +9,15 @@
     ServerName, ServiceName, ShardId, SocketAddress,
 };
 
-use super::ending::Finding;
+use super::final_checks::Finding;
 use super::World;
 use crate::clock::Instant;
 use crate::deployment::{self, CONTROLS};
 use crate::process::{Condition, Process};
 
 impl World {
-    /// A grant that leaves acknowledges the assignment.
-    pub(super) fn note_acknowledged(
+    /// Records the assignments that a sent grant acknowledges, each only once.
+    pub(super) fn record_acknowledgements(
         &mut self,
         number: usize,
         address: &SocketAddress,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Records what a replica newly believes of owners.
-    pub(super) fn note_beliefs(&mut self, number: usize) {
+    /// Records changed owners in a replica's table.
+    pub(super) fn record_table_changes(&mut self, number: usize) {
         let Some(node) = self.controls[number].node.as_ref() else {
             return;
         };
-        if node.state().table_index() == self.controls[number].believed_index {
+        if node.state().table_index() == self.controls[number].recorded_index {
             return;
         }
         let table = node.state().table();
@@ -73,7 +73,7 @@
             for (shard, owner) in service.owners.iter().enumerate() {
                 let key = (service.service.name.clone(), ShardId(shard as u32));
                 let known = self.controls[number]
-                    .believed
+                    .recorded_epochs
                     .insert(key.clone(), owner.epoch);
                 if known != Some(owner.epoch) {
                     let place = owner.server.map(|place| place as usize);
@@ -82,7 +82,7 @@
                 }
             }
         }
-        self.controls[number].believed_index = table.index;
+        self.controls[number].recorded_index = table.index;
         for ((service, shard), epoch, server) in changed {
             if epoch > Epoch(0) {
                 let record = self.assignment(number, &service, shard, epoch, server);
@@ -91,17 +91,17 @@
         }
     }
 
-    /// A replica that is down believes nothing until it has opened its disk again.
-    pub(super) fn forget_beliefs(&mut self, number: usize) {
-        let believed = std::mem::take(&mut self.controls[number].believed);
-        self.controls[number].believed_index = LogIndex(0);
-        for (service, shard) in believed.into_keys() {
+    /// Records that a replica that is down knows no owners until it has opened its disk again.
+    pub(super) fn clear_recorded_epochs(&mut self, number: usize) {
+        let recorded_epochs = std::mem::take(&mut self.controls[number].recorded_epochs);
+        self.controls[number].recorded_index = LogIndex(0);
+        for (service, shard) in recorded_epochs.into_keys() {
             let record = self.assignment(number, &service, shard, Epoch(0), None);
             self.record(HistoryEvent::Believed(record));
         }
     }
 
-    /// What a leader commits is on the disks of a majority of its voters.
+    /// Checks that the entries a leader commits are on the disks of a majority of its voters.
     pub(super) fn check_commit(&mut self, number: usize) {
         let Some(node) = self.controls[number].node.as_ref() else {
             return;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Two leaders must never be allowed to act at the same moment.
+    /// Checks that no two replicas hold a leader lease at the same time; reports the first overlap only.
     pub(super) fn check_leases(&mut self) {
         let holders: Vec<String> = (0..CONTROLS)
             .filter(|number| self.leader_lease(*number).is_some())
@@ -141,13 +141,16 @@
             .iter()
             .any(|one| one.kind == Finding::TWO_LEADERS);
         if holders.len() > 1 && !reported {
-            let explanation = format!("{} act as leaders", holders.join(" and "));
+            let explanation = format!(
+                "{} hold leader leases at the same time",
+                holders.join(" and ")
+            );
             self.findings
                 .push(Finding::new(self.now, Finding::TWO_LEADERS, explanation));
         }
     }
 
-    /// End of the time for which a replica may act as the leader, if it may now.
+    /// End of a replica's leader lease, if it holds one now.
     pub(super) fn leader_lease(&self, number: usize) -> Option<Instant> {
         let process = Process::Control(number);
         if self.condition(process) == Condition::Down {
@@ -155,26 +158,26 @@
         }
         let node = self.controls[number].node.as_ref()?;
         let until = node.consensus().leader_lease_until()?;
-        let body = self.bodies.get(&process)?;
-        (until > body.clock.local(self.now)).then(|| body.clock.moment(until))
+        let state = self.process_states.get(&process)?;
+        (until > state.clock.local(self.now)).then(|| state.clock.instant_at(until))
     }
 
-    /// Keeps the longest time in which no replica could act as the leader.
-    pub(super) fn note_leadership(&mut self) {
+    /// Updates the longest time during which no replica held a leader lease.
+    pub(super) fn update_leaderless_time(&mut self) {
         let until = (0..CONTROLS)
             .filter_map(|number| self.leader_lease(number))
             .max();
         let Some(until) = until else {
             return;
         };
-        if self.led_until > 0 {
-            let gap = self.now.saturating_sub(self.led_until);
+        if self.leader_lease_end > 0 {
+            let gap = self.now.saturating_sub(self.leader_lease_end);
             self.longest_without_leader = self.longest_without_leader.max(gap);
         }
-        self.led_until = until;
+        self.leader_lease_end = until;
     }
 
-    /// Longest time since the first leader in which no replica could act as the leader.
+    /// Longest time since the first leader during which no replica held a leader lease, in microseconds.
     pub fn longest_without_leader(&self) -> Instant {
         self.longest_without_leader
     }
--- a/crates/sim/src/world/processes.rs
+++ b/crates/sim/src/world/processes.rs
@@ -1,33 +1,33 @@
-//! Processes that die, freeze and come back.
+//! Crashes, freezes and restarts of processes.
 //!
-//! Invariant: a process runs again only when every fault that keeps it down has ended.
+//! Invariant: a process runs again only when every fault that keeps it down or frozen has ended.
 
 use grebepin_schema::{HistoryEvent, MemberRole};
 use grebepin_storage::Crash;
 
-use super::faults::Active;
+use super::faults::ActiveFault;
 use super::World;
 use crate::message::{Input, RouterInput};
 use crate::process::{Condition, Process};
 
 impl World {
-    pub(super) fn kill(&mut self, process: Process, crash: Crash) -> Active {
-        self.take_down(process);
-        self.note_struck(process, HistoryEvent::Killed(process.name()));
+    pub(super) fn kill(&mut self, process: Process, crash: Crash) -> ActiveFault {
+        self.stop_process(process);
+        self.record_fault_start(process, HistoryEvent::Killed(process.name()));
         if let Process::Control(number) = process {
             self.controls[number].disk.crash(crash);
         }
-        Active::Down(process)
+        ActiveFault::Down(process)
     }
 
-    /// Stops a process for good; it is opened anew when it comes back.
-    pub(super) fn take_down(&mut self, process: Process) {
+    /// Stops a process and discards its memory; a restart opens it from its disk.
+    pub(super) fn stop_process(&mut self, process: Process) {
         match process {
             Process::Control(number) => {
-                self.forget_beliefs(number);
+                self.clear_recorded_epochs(number);
                 self.controls[number].node = None;
                 self.close_connections_to(number);
-                self.led_until = self.led_until.min(self.now);
+                self.leader_lease_end = self.leader_lease_end.min(self.now);
             }
             Process::Server(number) => {
                 self.flush_server(number);
@@ -35,15 +35,15 @@
             }
             _ => {}
         }
-        if let Some(body) = self.bodies.get_mut(&process) {
-            body.condition = Condition::Down;
-            body.kills += 1;
-            body.held.clear();
+        if let Some(state) = self.process_states.get_mut(&process) {
+            state.condition = Condition::Down;
+            state.kills += 1;
+            state.deferred.clear();
         }
     }
 
-    /// Loses a disk if the group tolerates it now; else the process only dies.
-    pub(super) fn lose_disk(&mut self, control: usize) -> Active {
+    /// Wipes the disk of a replica if the group tolerates the loss now; otherwise the process only crashes.
+    pub(super) fn lose_disk(&mut self, control: usize) -> ActiveFault {
         let tolerated = self.tolerates_lost_disk(control);
         let active = self.kill(Process::Control(control), Crash::KeepAll);
         if tolerated {
@@ -59,7 +59,8 @@
         active
     }
 
-    /// Whether all other replicas are voters of the membership that the latest replica knows.
+    /// Whether all other replicas run and are voters in the membership known to the replica with the highest
+    /// commit index.
     pub(super) fn tolerates_lost_disk(&self, control: usize) -> bool {
         let nodes = self.controls.iter().filter_map(|actor| actor.node.as_ref());
         let Some(latest) = nodes.max_by_key(|node| node.consensus().commit()) else {
@@ -81,29 +82,29 @@
         })
     }
 
-    pub(super) fn revive(&mut self, process: Process) {
-        let Some(body) = self.bodies.get_mut(&process) else {
+    pub(super) fn end_kill(&mut self, process: Process) {
+        let Some(state) = self.process_states.get_mut(&process) else {
             return;
         };
-        body.kills = body.kills.saturating_sub(1);
-        if body.kills == 0 {
-            self.start_again(process);
+        state.kills = state.kills.saturating_sub(1);
+        if state.kills == 0 {
+            self.restart_process(process);
         }
-        self.note_mended(process);
+        self.record_fault_end(process);
     }
 
-    /// Starts a process that is down, unless a fault keeps it down.
-    pub(super) fn start_again(&mut self, process: Process) {
+    /// Restarts a process that is down, unless a fault keeps it down.
+    pub(super) fn restart_process(&mut self, process: Process) {
         let now = self.now;
-        let Some(body) = self.bodies.get_mut(&process) else {
+        let Some(state) = self.process_states.get_mut(&process) else {
             return;
         };
-        if body.kills > 0 || body.condition != Condition::Down {
+        if state.kills > 0 || state.condition != Condition::Down {
             return;
         }
-        body.restart(now);
-        if body.freezes > 0 {
-            body.condition = Condition::Frozen;
+        state.restart(now);
+        if state.freezes > 0 {
+            state.condition = Condition::Frozen;
         }
         match process {
             Process::Control(number) => self.open_control(number),
@@ -124,44 +125,44 @@
         }
     }
 
-    pub(super) fn freeze(&mut self, process: Process) -> Active {
-        if let Some(body) = self.bodies.get_mut(&process) {
-            body.freezes += 1;
-            if body.condition == Condition::Running {
-                body.condition = Condition::Frozen;
+    pub(super) fn freeze(&mut self, process: Process) -> ActiveFault {
+        if let Some(state) = self.process_states.get_mut(&process) {
+            state.freezes += 1;
+            if state.condition == Condition::Running {
+                state.condition = Condition::Frozen;
             }
         }
-        self.note_struck(process, HistoryEvent::Frozen(process.name()));
-        Active::Frozen(process)
+        self.record_fault_start(process, HistoryEvent::Frozen(process.name()));
+        ActiveFault::Frozen(process)
     }
 
-    pub(super) fn thaw(&mut self, process: Process) {
-        let Some(body) = self.bodies.get_mut(&process) else {
+    pub(super) fn end_freeze(&mut self, process: Process) {
+        let Some(state) = self.process_states.get_mut(&process) else {
             return;
         };
-        body.freezes = body.freezes.saturating_sub(1);
-        if body.freezes > 0 {
-            return self.note_mended(process);
+        state.freezes = state.freezes.saturating_sub(1);
+        if state.freezes > 0 {
+            return self.record_fault_end(process);
         }
-        if body.condition == Condition::Frozen {
-            body.condition = Condition::Running;
+        if state.condition == Condition::Frozen {
+            state.condition = Condition::Running;
         }
-        self.note_mended(process);
+        self.record_fault_end(process);
         let held = self
-            .bodies
+            .process_states
             .get_mut(&process)
-            .map(|body| std::mem::take(&mut body.held));
+            .map(|state| std::mem::take(&mut state.deferred));
         for input in held.unwrap_or_default() {
-            self.arrive(process, None, input);
+            self.deliver(process, None, input);
         }
     }
 
-    pub(super) fn note_struck(&mut self, process: Process, event: HistoryEvent) {
+    pub(super) fn record_fault_start(&mut self, process: Process, event: HistoryEvent) {
         *self.faults.in_force.entry(process).or_default() += 1;
         self.record(event);
     }
 
-    pub(super) fn note_mended(&mut self, process: Process) {
+    pub(super) fn record_fault_end(&mut self, process: Process) {
         let count = self.faults.in_force.entry(process).or_default();
         *count = count.saturating_sub(1);
         if *count == 0 {
@@ -169,8 +170,8 @@
         }
     }
 
-    /// A replica that lost its disk is back only once a leader counts it as a voter.
-    pub(super) fn note_voters(&mut self, leader: usize) {
+    /// Ends the fault of a replica that lost its disk once the leader counts it as a voter again.
+    pub(super) fn update_joining_replicas(&mut self, leader: usize) {
         if self.faults.joining.is_empty() || self.leader() != Some(leader) {
             return;
         }
@@ -178,7 +179,7 @@
         for control in joining {
             if self.is_voter(leader, control) {
                 self.faults.joining.remove(&control);
-                self.note_mended(Process::Control(control));
+                self.record_fault_end(Process::Control(control));
             }
         }
     }
--- a/crates/sim/src/world/routers.rs
+++ b/crates/sim/src/world/routers.rs
@@ -1,4 +1,4 @@
-//! Routers: the product's table and flows behind the simulated network.
+//! Routers: connects the product's table and flows to the simulated network.
 
 use grebepin_control::ConnectionId;
 use grebepin_schema::{HistoryEvent, InForceRecord, RouterFrame, SocketAddress};
@@ -8,10 +8,10 @@
 use crate::actors::router::{RouterActor, RouterConfig, RouterEffect};
 use crate::deployment::{self, control_address, name, Port, CONTROLS, ROUTERS};
 use crate::message::{CallerInput, ControlInput, Input, RouterInput, ServerInput};
-use crate::network::Carriage;
+use crate::network::Delivery;
 use crate::process::Process;
 
-/// Connections that one start of a router can open, so that numbers never meet.
+/// Maximum number of connections per incarnation of a router, which keeps connection numbers unique.
 const CONNECTIONS_PER_START: u64 = 1 << 24;
 
 impl World {
@@ -54,7 +54,7 @@
                 exchange,
                 request,
             } => {
-                let from = self.asker(process, number);
+                let from = self.requester(process, number);
                 let work = ServerInput::Work {
                     from,
                     exchange,
@@ -68,7 +68,7 @@
                 request,
                 attempt,
             } => {
-                let from = self.asker(process, number);
+                let from = self.requester(process, number);
                 let cancel = ServerInput::Cancel {
                     from,
                     exchange,
@@ -82,7 +82,7 @@
             }
             RouterEffect::Answer(answer) => {
                 let input = Input::Callers(CallerInput::Answer(answer));
-                self.send(process, Process::Callers, None, Carriage::Call, input);
+                self.send(process, Process::Callers, None, Delivery::Call, input);
             }
             RouterEffect::Connect {
                 connection,
@@ -105,7 +105,7 @@
 
     fn send_to_server(&mut self, from: Process, address: &SocketAddress, input: ServerInput) {
         if let Some(to) = deployment::process_at(address) {
-            self.send(from, to, None, Carriage::Call, Input::Server(input));
+            self.send(from, to, None, Delivery::Call, Input::Server(input));
         }
     }
 
@@ -146,13 +146,13 @@
         self.send_in_order(from, to, Some(incarnation), connection, input);
     }
 
-    /// Number of a connection that no other router or start uses.
+    /// Connection number that is unique across routers and incarnations.
     fn connection(&self, number: usize, local: u64) -> u64 {
         let start = self.incarnation(Process::Router(number)) * ROUTERS as u64 + number as u64;
         start * CONNECTIONS_PER_START + local
     }
 
-    /// Connections to a control replica that dies are closed.
+    /// Closes all connections to a control replica that stopped.
     pub(super) fn close_connections_to(&mut self, control: usize) {
         let known = self.peers_of_connections.iter();
         let closed: Vec<u64> = known
@@ -170,7 +170,7 @@
     }
 }
 
-/// Router behind a connection, and the start that made it.
+/// Router at the other end of a connection, and the incarnation that opened it.
 pub(super) fn router_of(connection: u64) -> (usize, u64) {
     let start = connection / CONNECTIONS_PER_START;
     ((start % ROUTERS as u64) as usize, start / ROUTERS as u64)
--- a/crates/sim/src/world/servers.rs
+++ b/crates/sim/src/world/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: the product's holder behind the simulated network.
+//! Servers: connects the product's holder to the simulated network.
 
 use grebepin_control::CallFailure;
 use grebepin_holder::HoldingChangeKind;
@@ -7,8 +7,8 @@
 use super::World;
 use crate::actors::server::{ServerActor, ServerEffect};
 use crate::deployment::{self, server_name, SLOTS};
-use crate::message::{Asker, ControlInput, Input, RouterInput, ServerInput, WorkReply};
-use crate::network::Carriage;
+use crate::message::{ControlInput, Input, Requester, RouterInput, ServerInput, WorkReply};
+use crate::network::Delivery;
 use crate::process::Process;
 use crate::random::{Random, Stream};
 
@@ -27,16 +27,16 @@
         }
         let now = self.local(process);
         let effects = self.servers[number].handle(now, input);
-        self.note_holdings(number);
+        self.record_holding_changes(number);
         for effect in effects {
             self.carry_out_server(number, effect);
         }
     }
 
-    /// Records what a server acquired and forfeited, at the time it did.
-    pub(super) fn note_holdings(&mut self, number: usize) {
+    /// Records acquisitions and forfeitures of a server at the time they happened.
+    pub(super) fn record_holding_changes(&mut self, number: usize) {
         let process = Process::Server(number);
-        let Some(clock) = self.bodies.get(&process).map(|body| body.clock) else {
+        let Some(clock) = self.process_states.get(&process).map(|state| state.clock) else {
             return;
         };
         for change in self.servers[number].holder().take_changes() {
@@ -50,16 +50,16 @@
                 HoldingChangeKind::Acquired => HistoryEvent::Acquired(holding),
                 HoldingChangeKind::Forfeited => HistoryEvent::Forfeited(holding),
             };
-            let at = clock.moment(change.at).min(self.now);
+            let at = clock.instant_at(change.at).min(self.now);
             self.recorder.record(at, event);
         }
     }
 
-    /// Lets lapsed leases show in the records before the server is gone.
+    /// Records expired leases of a server before its state is discarded.
     pub(super) fn flush_server(&mut self, number: usize) {
         let now = self.local(Process::Server(number));
         self.servers[number].holder().tick(now);
-        self.note_holdings(number);
+        self.record_holding_changes(number);
     }
 
     fn carry_out_server(&mut self, number: usize, effect: ServerEffect) {
@@ -93,7 +93,7 @@
                 epoch,
                 granted,
             } => {
-                let from = self.asker(process, number);
+                let from = self.requester(process, number);
                 let Some(to) = deployment::process_at(&address) else {
                     return;
                 };
@@ -103,7 +103,7 @@
                     epoch,
                     granted,
                 });
-                self.send(process, to, None, Carriage::Call, input);
+                self.send(process, to, None, Delivery::Call, input);
             }
             ServerEffect::Record {
                 to,
@@ -123,18 +123,18 @@
         }
     }
 
-    pub(super) fn asker(&self, process: Process, number: usize) -> Asker {
-        Asker {
+    pub(super) fn requester(&self, process: Process, number: usize) -> Requester {
+        Requester {
             number,
             incarnation: self.incarnation(process),
         }
     }
 
-    fn answer(&mut self, from: Process, to: Process, asker: Asker, input: Input) {
-        self.send(from, to, Some(asker.incarnation), Carriage::Call, input);
+    fn answer(&mut self, from: Process, to: Process, requester: Requester, input: Input) {
+        self.send(from, to, Some(requester.incarnation), Delivery::Call, input);
     }
 
-    /// A server whose process is down refuses connections.
+    /// Refuses a connection to a server whose process is down or that refuses the control group.
     pub(super) fn refuse_server(&mut self, number: usize, input: ServerInput) {
         let process = Process::Server(number);
         match input {
@@ -164,17 +164,17 @@
         }
     }
 
-    /// The connections of a server that dies break.
+    /// Breaks the connections of all requests that a crashed server was running.
     pub(super) fn break_connections(&mut self, number: usize) {
         let process = Process::Server(number);
-        let running: Vec<(Asker, u64)> = self.servers[number]
+        let running: Vec<(Requester, u64)> = self.servers[number]
             .running()
-            .map(|(asker, exchange, _)| (asker, exchange))
+            .map(|(requester, exchange, _)| (requester, exchange))
             .collect();
-        for (asker, exchange) in running {
+        for (requester, exchange) in running {
             let reply = WorkReply::Broken;
             let input = Input::Router(RouterInput::Replied { exchange, reply });
-            self.answer(process, Process::Router(asker.number), asker, input);
+            self.answer(process, Process::Router(requester.number), requester, input);
         }
     }
 }
--- a/crates/sim/tests/guards.rs
+++ b/crates/sim/tests/guards.rs
@@ -1,15 +1,15 @@
-//! Each protection taken out of the product: the checkers must notice within the stated seeds.
+//! Disables each protection of the product in turn; the checkers must report it within the given seeds.
 
 use grebepin_check::Promise;
 use grebepin_sim::{run, select, Finding, Removal, RunGuards};
 
-/// What must be reported.
+/// The kind of report that a disabled protection must cause.
 enum Noticed {
     Promise(Promise),
     Finding(&'static str),
 }
 
-/// Protection, scenario, seeds within which it is noticed, and what must be reported.
+/// Disabled protection, scenario, number of seeds, and the report that at least one of them must give.
 #[rustfmt::skip]
 const CASES: [(Removal, &str, u64, Noticed); 12] = [
     (Removal::Nonce, "server-slow-network", 20, Noticed::Promise(Promise::SoleOwnership)),
--- a/crates/sim/tests/scenarios.rs
+++ b/crates/sim/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every scenario with fixed seeds: no promise broken, everything well again at the end.
+//! Runs every scenario with fixed seeds: no promise may be broken, and the system must recover.
 
 use std::collections::BTreeSet;
 
@@ -12,15 +12,15 @@
         let batch = run_many(scenario, seeds.clone(), RunGuards::default(), THREADS);
         assert!(
             batch.answered > 50 * batch.runs,
-            "{} does too little",
+            "{}: too few answered requests",
             scenario.name
         );
         for outcome in batch.unclean {
             let violations = outcome.violations.iter().map(|one| one.explanation.clone());
             let findings = outcome.findings.iter().map(|one| one.explanation.clone());
-            let said: Vec<String> = violations.chain(findings).collect();
+            let explanations: Vec<String> = violations.chain(findings).collect();
             faults.push(format!(
-                "{} seed {}: {said:?}",
+                "{} seed {}: {explanations:?}",
                 outcome.scenario, outcome.seed
             ));
         }
