--- a/crates/holder/examples/holder_bench.rs
+++ b/crates/holder/examples/holder_bench.rs
@@ -1,7 +1,7 @@
-//! Processor time and memory of a holder against shards and records, for docs/CAPACITY.md.
+//! Measures CPU time and memory of a holder by number of shards and records, for docs/CAPACITY.md.
 //!
-//! `cargo run --release -p grebepin-holder --example holder_bench -- SHARDS`; one size for each
-//! process, so that memory is not mixed up.
+//! `cargo run --release -p grebepin-holder --example holder_bench -- SHARDS`. Each process measures
+//! one size, so that its resident memory belongs to that size alone.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 const HEARTBEATS: u32 = 2_000;
 const REQUESTS: u64 = 200_000;
 
-/// Holds a lease and `shards` shards.
+/// A holder with a lease and `shards` shards.
 fn holder(shards: u32) -> Holder {
     let mut holder = Holder::new(HolderConfig::new(1));
     heartbeat(&mut holder);
@@ -72,19 +72,19 @@
     }
 }
 
-/// Begins, checks and finishes each request.
+/// Runs each request: begin, check before the effect, finish.
 fn run_requests(holder: &mut Holder, requests: &[Request]) {
     for request in requests {
         let now = Duration::from_millis(1);
         let Ok(Begun::Run(permit)) = holder.begin(now, request) else {
-            panic!("not begun");
+            panic!("request was refused");
         };
         holder.before_effect(now, &permit).expect("a lease");
         holder.finish(now, permit, Effect::Made);
     }
 }
 
-/// Resident memory of this process in bytes, where the system tells.
+/// Resident memory of this process in bytes; 0 where `/proc` is not available.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/holder/src/config.rs
+++ b/crates/holder/src/config.rs
@@ -4,10 +4,10 @@
 
 use crate::Guards;
 
-/// Longest lease in force; a longer one is shortened to it.
+/// Longest lease duration; a longer one in a renewal is shortened to it.
 pub const MAXIMUM_LEASE: Duration = Duration::from_secs(60);
 
-/// Control groups that one server keeps leases of; heartbeats of further groups give no lease.
+/// Control groups of which one server keeps leases; heartbeats of further groups give no lease.
 pub const MAXIMUM_GROUPS: usize = 64;
 
 /// Bounds and durations of a [`Holder`](crate::Holder).
@@ -15,35 +15,37 @@
 pub struct HolderConfig {
     /// Number chosen at random at each start of the server.
     pub boot: u64,
-    /// How long a request that may not be repeated stays in the record. Callers resend a request
-    /// no later than this after its first attempt.
+    /// How long a non-repeatable request stays in the record. Callers resend a request no later
+    /// than this after its first attempt.
     pub retention: Duration,
     /// How long a repeatable request stays in the record.
     pub repeatable_retention: Duration,
-    /// Finished requests kept for one shard; beyond it the oldest go and the record isn't whole.
+    /// Finished requests kept per shard. Above it the oldest are evicted, and the record counts as
+    /// incomplete.
     pub entries_per_shard: usize,
-    /// Finished requests that may not be repeated, kept for all shards together, at some 240 bytes
-    /// each; beyond it the shard whose record grows loses its oldest, and isn't whole.
+    /// Finished non-repeatable requests kept for all shards together, at about 240 bytes each.
+    /// Above it the shard whose record grows evicts its oldest ones, and its record counts as
+    /// incomplete.
     pub entries: usize,
     /// Finished repeatable requests kept for all shards together.
     pub repeatable_entries: usize,
-    /// How long a shard that is being released takes no requests after the last time the release
-    /// was asked; then it serves again, since the leader that asked has given up or is gone.
-    pub release_patience: Duration,
-    /// How long a leaving server still takes requests for shards it holds.
+    /// How long a shard accepts no requests after the last release request for it. Afterwards it
+    /// serves again, since the leader that requested the release gave it up or failed.
+    pub release_timeout: Duration,
+    /// How long a draining server still accepts requests for the shards that it holds.
     pub drain_grace: Duration,
-    /// Lease time that must be left when an effect is made.
+    /// Least remaining lease time at which an effect is allowed.
     pub effect_margin: Duration,
-    /// Least time to a request's deadline at which the request is begun.
-    pub least_deadline: Duration,
+    /// Least time to its deadline with which a request is begun.
+    pub minimum_deadline: Duration,
     /// Whether [`take_changes`](crate::Holder::take_changes) reports acquired and forfeited shards.
     pub report_changes: bool,
-    /// Checks that are on.
+    /// Enabled safety checks.
     pub guards: Guards,
 }
 
 impl HolderConfig {
-    /// The usual bounds, for one start of a server.
+    /// Default bounds, for the start of a server with the number `boot`.
     pub fn new(boot: u64) -> Self {
         Self {
             boot,
@@ -52,10 +54,10 @@
             entries_per_shard: 20_000,
             entries: 350_000,
             repeatable_entries: 50_000,
-            release_patience: Duration::from_secs(2),
+            release_timeout: Duration::from_secs(2),
             drain_grace: Duration::from_millis(1500),
             effect_margin: Duration::from_millis(20),
-            least_deadline: Duration::from_millis(1),
+            minimum_deadline: Duration::from_millis(1),
             report_changes: false,
             guards: Guards::all(),
         }
--- a/crates/holder/src/guards.rs
+++ b/crates/holder/src/guards.rs
@@ -1,35 +1,35 @@
-//! The checks that make a holder safe, each of which a test may take out.
+//! Safety checks of a holder, each of which a test can disable.
 //!
-//! Invariant: without the feature `removable-guards` every guard is on.
+//! Invariant: without the feature `removable-guards` every guard is enabled.
 
-/// One check of the holder.
+/// One safety check of the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// A lease counts from the moment its nonce was issued.
+    /// The duration of a lease counts from the time at which its nonce was issued.
     Nonce,
-    /// Renewals and grants of an ended session are refused.
+    /// Renewals and grants for an ended session are refused.
     Session,
-    /// Lease and epoch are looked at when a request begins and again before its effect.
+    /// Lease and epoch are checked when a request begins and again before its effect.
     EpochCheck,
-    /// A cancelled request is refused from then on.
+    /// Later attempts of a cancelled request are refused.
     Tombstone,
-    /// A resend is refused where an earlier attempt can't be looked up.
+    /// A resend is refused if the record can't tell whether an earlier attempt ran.
     ResendRule,
 }
 
-/// Which guards are on.
+/// Set of enabled guards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     removed: Option<Guard>,
 }
 
 impl Guards {
-    /// Every guard on.
+    /// All guards enabled.
     pub fn all() -> Self {
         Self { removed: None }
     }
 
-    /// Every guard on but `guard`.
+    /// All guards enabled except `guard`.
     #[cfg(feature = "removable-guards")]
     pub fn without(guard: Guard) -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    pub(crate) fn has(self, guard: Guard) -> bool {
+    pub(crate) fn is_enabled(self, guard: Guard) -> bool {
         self.removed != Some(guard)
     }
 }
--- a/crates/holder/src/headers.rs
+++ b/crates/holder/src/headers.rs
@@ -1,73 +1,73 @@
-//! Headers between routers and back ends, and the request they describe.
+//! Headers of requests from routers to back ends, and their parsing.
 //!
-//! Invariant: a request whose headers are missing or wrong is never begun.
+//! Invariant: a request with missing or invalid headers is never begun.
 
 use std::str::FromStr;
 use std::time::Duration;
 
 use grebepin_schema::{Epoch, RequestId, ServiceName, ShardId};
 
-/// Service of the request.
+/// Service to which the request goes.
 pub const SERVICE: &str = "Grebepin-Service";
 /// Shard of the request's key.
 pub const SHARD: &str = "Grebepin-Shard";
-/// Epoch at which the router believes the server to hold the shard.
+/// Epoch at which the server holds the shard according to the router's routing data.
 pub const EPOCH: &str = "Grebepin-Epoch";
-/// Key of the request.
+/// Key of the request, which determines its shard.
 pub const KEY: &str = "Grebepin-Key";
-/// The caller's identifier of the request.
+/// Identifier of the request, chosen by the caller and the same for all attempts.
 pub const REQUEST_ID: &str = "Grebepin-Request-Id";
-/// 1 for the caller's first attempt, 2 and more for resends.
+/// Number of the attempt: 1 for the caller's first, 2 and above for resends.
 pub const ATTEMPT: &str = "Grebepin-Attempt";
-/// Time left to the request's deadline, in ms.
+/// Time left until the request's deadline, in milliseconds.
 pub const DEADLINE_MS: &str = "Grebepin-Deadline-Ms";
-/// `true` when running the request twice does no harm.
+/// `true` if running the request more than once does no harm.
 pub const REPEATABLE: &str = "Grebepin-Repeatable";
-/// Of an answer: why the request was not run.
+/// Response header: why the request was not run.
 pub const REFUSAL: &str = "Grebepin-Refusal";
-/// Of an answer: `true` when an earlier attempt ran, so that this one did not run again.
+/// Response header: `true` if an earlier attempt ran, so that this one was not run.
 pub const RAN_EARLIER: &str = "Grebepin-Ran-Earlier";
 
 /// Longest key in bytes.
 pub const MAXIMUM_KEY_BYTES: usize = 1024;
 
-/// A request of a router.
+/// A request from a router, as described by its headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Service asked.
+    /// Service to which the request goes.
     pub service: ServiceName,
     /// Shard of the key.
     pub shard: ShardId,
-    /// Epoch the router knows.
+    /// Epoch of the shard in the router's routing data.
     pub epoch: Epoch,
-    /// Key.
+    /// Key, of 1 to [`MAXIMUM_KEY_BYTES`] bytes.
     pub key: String,
-    /// The caller's identifier.
+    /// Identifier chosen by the caller, the same for all attempts.
     pub request_id: RequestId,
-    /// 1 for the first attempt.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Whether running it twice does no harm.
+    /// Whether running the request more than once does no harm.
     pub repeatable: bool,
-    /// Time left to its deadline.
+    /// Time left until its deadline.
     pub deadline_left: Duration,
 }
 
-/// Why headers describe no request.
+/// Error in the headers of a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// The header is not there.
+    /// A required header is absent.
     #[error("header {0} is missing")]
     Missing(&'static str),
-    /// The header's value doesn't parse.
+    /// A header has an invalid value.
     #[error("header {0} does not parse")]
     Invalid(&'static str),
 }
 
 impl Request {
-    /// Reads a request from its headers; `header` finds a value by name, without regard to case.
+    /// Parses a request from its headers. `header` looks up a value by name, ignoring case.
     ///
     /// # Errors
-    /// The first header that is missing or wrong.
+    /// The first header that is missing or invalid.
     pub fn from_headers<'a>(
         header: impl Fn(&'static str) -> Option<&'a str>,
     ) -> Result<Self, HeaderError> {
--- a/crates/holder/src/holder.rs
+++ b/crates/holder/src/holder.rs
@@ -1,4 +1,4 @@
-//! The holder: leases by control group, shards with their records, and what a driver asks of them.
+//! The holder: leases by control group, and shards with their request records.
 //!
 //! Invariant: `held` and `checksum` of a group's lease always agree with the shards marked as held.
 
@@ -15,29 +15,30 @@
 use crate::record::{Counts, Record};
 use crate::HolderConfig;
 
-/// Most changes kept for [`Holder::take_changes`]; older ones go first.
+/// Most changes kept for [`Holder::take_changes`]; further ones are dropped.
 const MAXIMUM_CHANGES: usize = 1 << 20;
 
-/// What the server keeps of one shard that it holds or held since its start.
+/// State of one shard that the server holds or has held since its start.
 #[derive(Debug)]
 pub(crate) struct Shard {
     pub(crate) group: GroupId,
-    /// Epoch held now or last.
+    /// Epoch at which the shard is held or was held last; 0 if never.
     pub(crate) epoch: Epoch,
     pub(crate) held: bool,
-    /// When its release was last asked; it takes no new requests for a while from then on.
-    pub(crate) release_asked: Option<Duration>,
-    /// Highest epoch released; grants up to it are refused.
+    /// Time of the last release request. No new requests are accepted for the release timeout
+    /// after it.
+    pub(crate) release_requested_at: Option<Duration>,
+    /// Highest released epoch; grants up to it are refused.
     pub(crate) released: Epoch,
-    /// Requests begun and not finished, at any epoch.
+    /// Requests begun and not finished, over all epochs.
     pub(crate) in_flight: u32,
     /// The record of the previous owner is being fetched.
     pub(crate) awaiting_record: bool,
-    /// An earlier epoch held here, up to which the record is whole.
-    pub(crate) whole_through: Option<Epoch>,
-    /// Released with a record that no next owner has fetched yet.
+    /// Last earlier epoch held by this server, if the record was complete at its end.
+    pub(crate) complete_through: Option<Epoch>,
+    /// Released with a record that the next owner has not fetched yet.
     pub(crate) record_unfetched: bool,
-    /// Hash of the held shard, for the checksum.
+    /// Hash of the held shard and its epoch, added to the checksum of the group.
     pub(crate) hash: u64,
     pub(crate) record: Record,
 }
@@ -48,56 +49,57 @@
             group,
             epoch: Epoch(0),
             held: false,
-            release_asked: None,
+            release_requested_at: None,
             released: Epoch(0),
             in_flight: 0,
             awaiting_record: false,
-            whole_through: None,
+            complete_through: None,
             record_unfetched: false,
             hash: 0,
             record: Record::default(),
         }
     }
 
-    /// Whether the shard is held at `epoch`, or was last, with a record that isn't whole. Also a
-    /// record of a shard that has moved on is worth to be made whole, for the next owner.
-    pub(crate) fn lacks_record(&self, now: Duration, epoch: Epoch) -> bool {
-        self.epoch == epoch && !self.record.is_whole(now)
+    /// Whether the shard is held at `epoch`, or was held last at it, with an incomplete record. The
+    /// record of a shard that has moved away is completed too, for its next owner.
+    pub(crate) fn needs_record(&self, now: Duration, epoch: Epoch) -> bool {
+        self.epoch == epoch && !self.record.is_complete(now)
     }
 
-    /// Whether nothing of `epoch` runs or will run here, and whether the record is whole up to it.
-    pub(crate) fn ended(&self, now: Duration, epoch: Epoch) -> (bool, bool) {
+    /// Returns whether no request of `epoch` runs or can still run on this server, and whether the
+    /// record is complete up to that epoch.
+    pub(crate) fn epoch_ended(&self, now: Duration, epoch: Epoch) -> (bool, bool) {
         if self.epoch == epoch {
             let settled = !self.held && self.in_flight == 0;
-            return (settled, settled && self.record.is_whole(now));
+            return (settled, settled && self.record.is_complete(now));
         }
-        let earlier = self.whole_through == Some(epoch) && !self.record.overflowed(now);
+        let earlier = self.complete_through == Some(epoch) && !self.record.overflowed(now);
         (earlier, earlier)
     }
 }
 
-/// Whether a shard was acquired or forfeited.
+/// Kind of a change in the set of held shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldingChangeKind {
     /// The server began to hold the shard.
     Acquired,
-    /// The server stopped holding the shard, by release or lapse.
+    /// The server stopped holding the shard, by a release or since the lease expired.
     Forfeited,
 }
 
-/// A change of what the server holds.
+/// A shard acquired or forfeited by the server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldingChange {
-    /// When it took effect; for a lapse the end of the lease, which may lie before the call that
-    /// noticed it.
+    /// When it took effect. For an expired lease this is the end of the lease, which can be earlier
+    /// than the call that detected the expiry.
     pub at: Duration,
-    /// What happened.
+    /// Whether the shard was acquired or forfeited.
     pub kind: HoldingChangeKind,
-    /// Shard and epoch.
+    /// Shard, and the epoch at which it is or was held.
     pub shard: HeldShard,
 }
 
-/// What one server holds.
+/// Leases, held shards and request records of one server.
 #[derive(Debug)]
 pub struct Holder {
     pub(crate) config: HolderConfig,
@@ -113,7 +115,7 @@
 }
 
 impl Holder {
-    /// A server that has just started: it holds nothing.
+    /// The state of a server that has just started and holds no shards.
     pub fn new(config: HolderConfig) -> Self {
         Self {
             last_nonce: config.boot,
@@ -128,35 +130,36 @@
         }
     }
 
-    /// Number of this start of the server.
+    /// Number chosen at random for this start of the server.
     pub fn boot(&self) -> u64 {
         self.config.boot
     }
 
-    /// Requests begun and not finished.
+    /// Requests begun and not finished, over all shards.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Shards held over all groups; call [`tick`](Self::tick) first to see lapsed leases.
+    /// Number of shards held over all groups. Shards under an expired lease count until the next
+    /// [`tick`](Self::tick) or other call that checks for expiry.
     pub fn held_shards(&self) -> u32 {
         self.groups.values().map(|lease| lease.held).sum()
     }
 
-    /// Released shards whose record the next owner has not fetched yet. A server that stops as
-    /// planned stays until there are none, for a bounded time.
+    /// Number of released shards whose record the next owner has not fetched yet. During a planned
+    /// shutdown a server waits for a bounded time until there are none.
     pub fn unfetched_records(&self) -> usize {
         let shards = self.shards.values();
         shards.filter(|shard| shard.record_unfetched).count()
     }
 
-    /// Whether the server is leaving.
+    /// Whether the server is draining, as set by [`drain`](Self::drain).
     pub fn is_draining(&self) -> bool {
         self.draining_since.is_some()
     }
 
-    /// Starts or ends the server's leaving. A leaving server is given no further shards and refuses
-    /// new requests once the grace in its configuration is over.
+    /// Starts or ends draining. A draining server refuses grants of further shards, and refuses new
+    /// requests after [`HolderConfig::drain_grace`].
     pub fn drain(&mut self, now: Duration, draining: bool) {
         self.draining_since = match draining {
             true => self.draining_since.or(Some(now)),
@@ -164,10 +167,10 @@
         };
     }
 
-    /// Lets leases lapse and old records go. Every other call lets leases lapse by itself, so a
-    /// driver calls this only to notice a lapse early and to bound memory.
+    /// Expires leases and old records. The calls that depend on a lease check its expiry
+    /// themselves; this call is needed only to detect it early and to bound memory.
     pub fn tick(&mut self, now: Duration) {
-        self.lapse(now);
+        self.expire_leases(now);
         for shard in self.shards.values_mut() {
             shard.record.expire(now, &self.config);
         }
@@ -175,14 +178,18 @@
         self.recorded = records.fold(Counts::default(), Counts::plus);
     }
 
-    /// When the first lease ends, if there is one.
+    /// Time at which the first lease expires; `None` without a lease.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.groups.values().filter_map(GroupLease::until).min()
+        self.groups
+            .values()
+            .filter_map(GroupLease::expires_at)
+            .min()
     }
 
-    /// Answers a heartbeat, renewing the lease that it carries.
+    /// Answers a heartbeat and applies the lease renewal in it. A heartbeat with an old term, or for
+    /// a group above [`MAXIMUM_GROUPS`], gets the nonce 0 and renews nothing.
     pub fn heartbeat(&mut self, now: Duration, request: &HeartbeatRequest) -> HeartbeatAnswer {
-        self.lapse(now);
+        self.expire_leases(now);
         let guards = self.config.guards;
         let mut renewed = false;
         let mut nonce = Nonce(0);
@@ -199,9 +206,9 @@
         self.heartbeat_answer(now, request.group, nonce, renewed)
     }
 
-    /// Answers what the server holds for `group`.
+    /// Lists the shards that the server holds for `group`.
     pub fn holdings(&mut self, now: Duration, group: GroupId) -> HoldingsAnswer {
-        self.lapse(now);
+        self.expire_leases(now);
         let held = self
             .shards
             .iter()
@@ -214,19 +221,19 @@
         }
     }
 
-    /// Changes of what is held since the last call, in the order they were noticed. Empty unless
-    /// the configuration asks for reports.
+    /// Changes of the held shards since the last call, in the order in which they were detected.
+    /// Empty unless [`HolderConfig::report_changes`] is set.
     pub fn take_changes(&mut self) -> Vec<HoldingChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// The group's current session.
+    /// The group's current session, which ends when its lease expires.
     pub fn session(&self, group: GroupId) -> Session {
         let lease = self.groups.get(&group);
         lease.map_or(Session(self.config.boot), GroupLease::session)
     }
 
-    /// Whether `now` is within the group's lease.
+    /// Whether the group's lease is valid at `now`.
     pub fn has_lease(&self, now: Duration, group: GroupId) -> bool {
         self.lease_remaining(now, group) > Duration::ZERO
     }
@@ -236,7 +243,7 @@
         lease.map_or(Duration::ZERO, |lease| lease.remaining(now))
     }
 
-    /// Notes the group's term; `false` for an old one, or for a group over the bound.
+    /// Stores the group's term; `false` for an old term, or for a group above the bound.
     pub(crate) fn accept_term(&mut self, group: GroupId, term: grebepin_schema::Term) -> bool {
         let first_session = Session(self.config.boot);
         if !self.groups.contains_key(&group) && self.groups.len() >= MAXIMUM_GROUPS {
@@ -248,7 +255,7 @@
             .accept_term(term)
     }
 
-    /// Changes a shard's record, within the bound on all records together.
+    /// Changes a shard's record, then evicts from it until the bound on all records is met.
     pub(crate) fn change_record<T>(
         &mut self,
         now: Duration,
@@ -259,7 +266,7 @@
         let others = self.recorded.minus(shard.record.counts());
         let result = change(shard, &self.config);
         let bound = Counts {
-            kept: self.config.entries,
+            non_repeatable: self.config.entries,
             repeatable: self.config.repeatable_entries,
         };
         shard
@@ -269,15 +276,15 @@
         Some(result)
     }
 
-    /// Drops every shard whose lease has ended.
-    pub(crate) fn lapse(&mut self, now: Duration) {
-        let lapsed: Vec<_> = self
+    /// Forfeits every shard whose lease has expired.
+    pub(crate) fn expire_leases(&mut self, now: Duration) {
+        let expired: Vec<_> = self
             .groups
             .iter_mut()
-            .filter_map(|(group, lease)| Some((*group, lease.lapse(now)?)))
+            .filter_map(|(group, lease)| Some((*group, lease.expire(now)?)))
             .collect();
-        for (group, at) in lapsed {
-            self.drop_group(group, at);
+        for (group, at) in expired {
+            self.forfeit_group(group, at);
         }
     }
 
@@ -289,7 +296,7 @@
         };
         shard.epoch = epoch;
         shard.held = true;
-        shard.release_asked = None;
+        shard.release_requested_at = None;
         shard.record_unfetched = false;
         shard.hash = grebepin_schema::hashing::shard_hash(&key.service, key.shard, epoch);
         if let Some(lease) = self.groups.get_mut(&shard.group) {
@@ -299,13 +306,13 @@
         self.report(now, HoldingChangeKind::Acquired, held_shard(key, epoch));
     }
 
-    /// Marks a shard as no longer held; does nothing when it isn't.
+    /// Marks a shard as no longer held; has no effect on a shard that isn't held.
     pub(crate) fn forfeit(&mut self, at: Duration, key: &ShardKey) {
         let Some(shard) = self.shards.get_mut(key).filter(|shard| shard.held) else {
             return;
         };
         shard.held = false;
-        shard.release_asked = None;
+        shard.release_requested_at = None;
         shard.awaiting_record = false;
         let forfeited = held_shard(key, shard.epoch);
         if let Some(lease) = self.groups.get_mut(&shard.group) {
@@ -315,7 +322,7 @@
         self.report(at, HoldingChangeKind::Forfeited, forfeited);
     }
 
-    fn drop_group(&mut self, group: GroupId, at: Duration) {
+    fn forfeit_group(&mut self, group: GroupId, at: Duration) {
         let held = self
             .shards
             .iter()
--- a/crates/holder/src/lease.rs
+++ b/crates/holder/src/lease.rs
@@ -1,7 +1,7 @@
 //! The lease of one control group over the shards that the server holds for it.
 //!
-//! Invariant: a lease never ends later than its duration after the issue of the nonce that its
-//! renewal returned, and a lapse ends the session.
+//! Invariant: a lease ends at the latest one lease duration after the nonce in its renewal was
+//! issued, and the expiry of the lease ends the session.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::config::MAXIMUM_LEASE;
 use crate::guards::{Guard, Guards};
 
-/// Nonces a server remembers; older ones renew nothing.
+/// Nonces that a server keeps; a renewal with an older one has no effect.
 const KEPT_NONCES: usize = 8;
 
 /// Lease, session, term and nonces of one control group.
@@ -19,7 +19,7 @@
 pub(crate) struct GroupLease {
     term: Term,
     session: Session,
-    until: Option<Duration>,
+    expires_at: Option<Duration>,
     nonces: VecDeque<(Nonce, Duration)>,
     /// Shards held for the group.
     pub(crate) held: u32,
@@ -32,14 +32,14 @@
         Self {
             term: Term(0),
             session: first_session,
-            until: None,
+            expires_at: None,
             nonces: VecDeque::with_capacity(KEPT_NONCES + 1),
             held: 0,
             checksum: 0,
         }
     }
 
-    /// Remembers the highest term; `false` when a newer leader was heard before.
+    /// Stores the highest term seen; `false` if a message with a higher term was received before.
     pub(crate) fn accept_term(&mut self, term: Term) -> bool {
         if term < self.term {
             return false;
@@ -52,24 +52,24 @@
         self.session
     }
 
-    /// End of the lease, if there is one.
-    pub(crate) fn until(&self) -> Option<Duration> {
-        self.until
+    /// End of the current lease; `None` without one.
+    pub(crate) fn expires_at(&self) -> Option<Duration> {
+        self.expires_at
     }
 
-    /// Lease time left.
+    /// Remaining time of the lease; zero without one.
     pub(crate) fn remaining(&self, now: Duration) -> Duration {
-        self.until
-            .map_or(Duration::ZERO, |until| until.saturating_sub(now))
+        self.expires_at
+            .map_or(Duration::ZERO, |expires_at| expires_at.saturating_sub(now))
     }
 
-    /// Ends session and lease when the lease has run out; returns the moment it ended.
-    pub(crate) fn lapse(&mut self, now: Duration) -> Option<Duration> {
-        let until = self.until.filter(|until| *until <= now)?;
-        self.until = None;
+    /// Ends session and lease if the lease has expired; returns the time at which it expired.
+    pub(crate) fn expire(&mut self, now: Duration) -> Option<Duration> {
+        let expires_at = self.expires_at.filter(|expires_at| *expires_at <= now)?;
+        self.expires_at = None;
         self.session = Session(self.session.0.wrapping_add(1));
         self.nonces.clear();
-        Some(until)
+        Some(expires_at)
     }
 
     pub(crate) fn remember_nonce(&mut self, nonce: Nonce, now: Duration) {
@@ -79,25 +79,25 @@
         }
     }
 
-    /// Extends the lease; `false` when the renewal takes no effect.
+    /// Extends the lease; `false` if the renewal has no effect.
     pub(crate) fn renew(&mut self, now: Duration, renewal: &LeaseRenewal, guards: Guards) -> bool {
-        if guards.has(Guard::Session) && renewal.session != self.session {
+        if guards.is_enabled(Guard::Session) && renewal.session != self.session {
             return false;
         }
         let Some(issued) = self.issued_at(now, renewal.nonce, guards) else {
             return false;
         };
         let duration = Duration::from_millis(renewal.duration_ms).min(MAXIMUM_LEASE);
-        let until = issued + duration;
-        if until <= now {
+        let expires_at = issued + duration;
+        if expires_at <= now {
             return false;
         }
-        self.until = self.until.max(Some(until));
+        self.expires_at = self.expires_at.max(Some(expires_at));
         true
     }
 
     fn issued_at(&self, now: Duration, nonce: Nonce, guards: Guards) -> Option<Duration> {
-        if !guards.has(Guard::Nonce) {
+        if !guards.is_enabled(Guard::Nonce) {
             return Some(now);
         }
         let issued = self.nonces.iter().find(|(known, _)| *known == nonce);
--- a/crates/holder/src/lib.rs
+++ b/crates/holder/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a back end keeps of grants, leases and request records: a pure state machine.
+//! Grants, leases and request records of a back end, as a state machine without I/O.
 //!
-//! A [`Holder`] has no clock, socket, thread or file. Each call states the time since the start of
-//! the process; the caller passes the answers on. One lock round the whole holder is enough.
+//! A [`Holder`] uses no clock, socket, thread or file. Each call takes the time since the start of
+//! the process, and the caller transmits the answers. One lock around the whole holder is enough.
 //!
 //! Invariant: a request's effect is allowed only while the server holds a running lease over the
-//! request's shard at the request's epoch, and at most once for a request that may not be repeated.
+//! request's shard at the request's epoch, and at most once for a non-repeatable request.
 
 mod config;
 mod guards;
--- a/crates/holder/src/ownership.rs
+++ b/crates/holder/src/ownership.rs
@@ -1,7 +1,7 @@
-//! Grants, releases and the hand-over of records.
+//! Grants, releases and the handover of request records.
 //!
 //! Invariants: a grant takes effect only in the session it was made for and above every released
-//! epoch; a shard is released only when none of its requests runs.
+//! epoch; a shard is released only when none of its requests is in flight.
 
 use std::time::Duration;
 
@@ -13,33 +13,34 @@
 use crate::guards::Guard;
 use crate::holder::{held_shard, Holder, Shard};
 
-/// A record that the driver fetches from a shard's previous owner, with
-/// `GET /grebepin/v1/handover`, and hands to [`Holder::complete_handover`].
+/// A record that the caller fetches from a shard's previous owner, with
+/// `GET /grebepin/v1/handover`, and passes to [`Holder::complete_handover`].
 ///
-/// When the previous owner released the shard, requests wait for it, so that it is fetched at once.
-/// Otherwise the previous owner was lost; it may come back with its record, so that the driver asks
-/// now and then, as long as [`Holder::wants_record`] says so.
+/// If the previous owner released the shard, the record is fetched at once, since first attempts are
+/// refused until it is there. Otherwise the previous owner was lost. It can return with its record,
+/// so the caller retries periodically while [`Holder::wants_record`] is true.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandoverFetch {
-    /// Shard and the epoch it was granted at.
+    /// Shard, and the epoch at which it was granted.
     pub shard: HeldShard,
-    /// Whom to ask, and the epoch to ask for.
+    /// Server to fetch from, and the epoch at which it held the shard.
     pub previous: PreviousOwner,
 }
 
-/// Answer to a grant, and what is to be fetched because of it.
+/// Answer to a grant request, and the records to fetch for it.
 #[derive(Clone, Debug)]
 pub struct GrantOutcome {
-    /// Goes back to the control leader.
+    /// Answer for the control leader.
     pub answer: GrantAnswer,
-    /// Fetched in the background. Until then new requests that may not be repeated are refused.
+    /// Records to fetch in the background. Non-repeatable requests that the record doesn't know are
+    /// refused until a released shard's record is there.
     pub fetch: Vec<HandoverFetch>,
 }
 
 impl Holder {
-    /// Takes shards that the control group has committed to this server.
+    /// Accepts or refuses each shard that the control group has assigned to this server.
     pub fn grant(&mut self, now: Duration, request: &GrantRequest) -> GrantOutcome {
-        self.lapse(now);
+        self.expire_leases(now);
         let current_term = self.accept_term(request.group, request.term);
         let mut accepted = Vec::new();
         let mut refused = Vec::new();
@@ -47,7 +48,7 @@
         for grant in &request.grants {
             match self.check_grant(now, request, grant, current_term) {
                 Ok(()) => {
-                    fetch.extend(self.take_shard(now, request, grant));
+                    fetch.extend(self.accept_grant(now, request, grant));
                     accepted.push(HeldShard {
                         service: grant.service.clone(),
                         shard: grant.shard,
@@ -66,10 +67,10 @@
         GrantOutcome { answer, fetch }
     }
 
-    /// Stops new requests for the shards and lets go of those where none runs. Asked again until
-    /// every shard is released.
+    /// Stops accepting new requests for the shards and releases those without requests in flight.
+    /// The control leader repeats the request until every shard is released.
     pub fn release(&mut self, now: Duration, request: &ReleaseRequest) -> ReleaseAnswer {
-        self.lapse(now);
+        self.expire_leases(now);
         let mut answer = ReleaseAnswer {
             released: Vec::new(),
             busy: Vec::new(),
@@ -91,10 +92,11 @@
         answer
     }
 
-    /// The record of a shard that this server held at `epoch` and released, or lost with its lease;
-    /// for the next owner. Once handed over, the shard is not taken again at that epoch.
+    /// Returns the record of a shard that this server held at `epoch` and released, or lost with its
+    /// lease, for the next owner. Once no request of `epoch` can run here, later grants of the
+    /// shard at that epoch are refused.
     pub fn handover(&mut self, now: Duration, key: &ShardKey, epoch: Epoch) -> HandoverAnswer {
-        self.lapse(now);
+        self.expire_leases(now);
         let Some(shard) = self.shards.get_mut(key) else {
             return HandoverAnswer {
                 complete: false,
@@ -102,9 +104,9 @@
             };
         };
         shard.record.expire(now, &self.config);
-        let (settled, complete) = shard.ended(now, epoch);
+        let (settled, complete) = shard.epoch_ended(now, epoch);
         if settled {
-            // The next owner asks, so that this epoch is over for good.
+            // A next owner exists, so this epoch must not be granted again.
             shard.released = shard.released.max(epoch);
             shard.record_unfetched &= shard.epoch != epoch;
         }
@@ -114,30 +116,31 @@
         }
     }
 
-    /// Whether the record of a shard held at this epoch, now or last, is still to be fetched.
+    /// Whether the record of a shard that is held at this epoch, or was held last at it, is
+    /// incomplete and still has to be fetched.
     pub fn wants_record(&self, now: Duration, shard: &HeldShard) -> bool {
         let known = self.shards.get(&shard_key(shard));
-        known.is_some_and(|known| known.lacks_record(now, shard.epoch))
+        known.is_some_and(|known| known.needs_record(now, shard.epoch))
     }
 
-    /// Takes in the record fetched for a grant; `None` when it could not be had. An answer for
-    /// another epoch than the one held now or last is ignored.
+    /// Merges the record fetched for a grant; `answer` is `None` if the fetch failed. The call is
+    /// ignored if the shard is held, or was held last, at another epoch.
     pub fn complete_handover(
         &mut self,
         now: Duration,
         shard: &HeldShard,
         answer: Option<&HandoverAnswer>,
     ) {
-        self.lapse(now);
+        self.expire_leases(now);
         let key = shard_key(shard);
         let epoch = shard.epoch;
         self.change_record(now, &key, |known, config| {
-            if !known.lacks_record(now, epoch) {
+            if !known.needs_record(now, epoch) {
                 return;
             }
             known.awaiting_record = false;
             if let Some(answer) = answer {
-                known.record.take_over(now, answer, config);
+                known.record.import(now, answer, config);
             }
         });
     }
@@ -152,7 +155,7 @@
         if !current_term {
             return Err(GrantRefusalReason::StaleTerm);
         }
-        let check_session = self.config.guards.has(Guard::Session);
+        let check_session = self.config.guards.is_enabled(Guard::Session);
         if check_session && request.session != self.session(request.group) {
             return Err(GrantRefusalReason::StaleSession);
         }
@@ -170,7 +173,7 @@
         Ok(())
     }
 
-    fn take_shard(
+    fn accept_grant(
         &mut self,
         now: Duration,
         request: &GrantRequest,
@@ -186,18 +189,18 @@
         }
         let previous_is_self = continues_own_record(shard.epoch, grant.previous.as_ref());
         let continues = shard.epoch == grant.epoch || previous_is_self;
-        let whole_now = shard.record.is_whole(now);
+        let complete_now = shard.record.is_complete(now);
         if shard.epoch != grant.epoch {
-            let settled = whole_now && shard.in_flight == 0;
-            shard.whole_through = settled.then_some(shard.epoch);
+            let settled = complete_now && shard.in_flight == 0;
+            shard.complete_through = settled.then_some(shard.epoch);
         }
         match &grant.previous {
-            _ if continues && whole_now => {}
-            None if shard.epoch == Epoch(0) => shard.record.set_whole(now),
+            _ if continues && complete_now => {}
+            None if shard.epoch == Epoch(0) => shard.record.set_complete(now),
             _ if continues => {}
             _ => shard.record.set_incomplete(now, &self.config),
         }
-        let incomplete = !shard.record.is_whole(now);
+        let incomplete = !shard.record.is_complete(now);
         self.acquire(now, &key, grant.epoch);
         let previous = grant.previous.clone()?;
         if !incomplete || previous_is_self {
@@ -210,7 +213,7 @@
         Some(HandoverFetch { shard, previous })
     }
 
-    /// Requests still running when the shard can't be let go of yet.
+    /// Releases a shard; returns its requests in flight if it can't be released yet.
     fn release_shard(
         &mut self,
         now: Duration,
@@ -226,7 +229,7 @@
         if shard.group != group || shard.epoch > held.epoch {
             return None;
         }
-        shard.release_asked = shard.held.then_some(now);
+        shard.release_requested_at = shard.held.then_some(now);
         if shard.in_flight > 0 || shard.awaiting_record {
             return Some(shard.in_flight);
         }
@@ -237,12 +240,14 @@
     }
 }
 
-/// Whether `epoch` lies at or below a released one, or below the one held last.
+/// Whether the shard belongs to another group, or `epoch` is at or below a released epoch or below
+/// the epoch held last.
 fn refuses_epoch(shard: &Shard, request: &GrantRequest, epoch: Epoch) -> bool {
     shard.group != request.group || epoch <= shard.released || epoch < shard.epoch
 }
 
-/// Whether the owner before the grant was this very server, since its last start.
+/// Whether the owner before the grant was this server, since its last start. Epochs are unique per
+/// shard, so an equal epoch identifies the owner.
 fn continues_own_record(own: Epoch, previous: Option<&PreviousOwner>) -> bool {
     own > Epoch(0) && previous.is_some_and(|previous| previous.epoch == own)
 }
--- a/crates/holder/src/record.rs
+++ b/crates/holder/src/record.rs
@@ -1,7 +1,7 @@
-//! The record of requests of one shard: what ran, what runs, what was cancelled.
+//! The request record of one shard: requests that ran, are running or were cancelled.
 //!
-//! Invariants: an unfinished request is never forgotten, finished ones are bounded by age and
-//! count, and a record that lost one within the retention doesn't claim to be whole.
+//! Invariants: an unfinished request is never evicted, finished ones are bounded by age and count,
+//! and a record that evicted one within the retention counts as incomplete.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,22 +13,22 @@
 /// State of one request in the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryState {
-    /// Begun; its effect is not allowed yet.
+    /// Begun with this token; its effect is not allowed yet.
     Admitted(u64),
-    /// Its effect was allowed and may be under way.
+    /// Its effect was allowed and may be in progress.
     Committing(u64),
-    /// Its effect was made.
+    /// Its effect took place.
     Ran,
-    /// Cancelled; `proven` when no earlier attempt can have run elsewhere.
+    /// Cancelled; `proven` if no earlier attempt can have run on another server.
     Tombstone { proven: bool },
 }
 
 impl EntryState {
-    fn finished(self) -> bool {
+    fn is_finished(self) -> bool {
         matches!(self, Self::Ran | Self::Tombstone { .. })
     }
 
-    /// The state as other programs see it.
+    /// The state as reported in answers.
     pub(crate) fn request_state(self) -> RequestState {
         match self {
             Self::Admitted(_) | Self::Committing(_) => RequestState::Running,
@@ -43,73 +43,76 @@
 struct Entry {
     state: EntryState,
     repeatable: bool,
-    /// Grows with each finish, so that an old place in the queue is told from a new one.
+    /// Number of the change that stored the entry. It identifies outdated queue positions of the
+    /// same request.
     generation: u64,
 }
 
+/// Position of a finished request in the eviction queue.
 #[derive(Debug)]
-struct Place {
+struct QueuedEntry {
     finished_at: Duration,
     request_id: RequestId,
     generation: u64,
 }
 
-/// Finished requests of a record, or of many.
+/// Numbers of finished requests in one record or several.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
-    /// That may not be repeated.
-    pub(crate) kept: usize,
+    pub(crate) non_repeatable: usize,
     pub(crate) repeatable: usize,
 }
 
 impl Counts {
     pub(crate) fn plus(self, other: Self) -> Self {
         Self {
-            kept: self.kept + other.kept,
+            non_repeatable: self.non_repeatable + other.non_repeatable,
             repeatable: self.repeatable + other.repeatable,
         }
     }
 
     pub(crate) fn minus(self, other: Self) -> Self {
         Self {
-            kept: self.kept.saturating_sub(other.kept),
+            non_repeatable: self.non_repeatable.saturating_sub(other.non_repeatable),
             repeatable: self.repeatable.saturating_sub(other.repeatable),
         }
     }
 }
 
-/// The record of one shard.
+/// The request record of one shard.
 #[derive(Debug, Default)]
 pub(crate) struct Record {
     entries: BTreeMap<RequestId, Entry>,
-    kept: VecDeque<Place>,
-    repeatable: VecDeque<Place>,
+    non_repeatable: VecDeque<QueuedEntry>,
+    repeatable: VecDeque<QueuedEntry>,
     generation: u64,
-    /// From when on the record is whole; `None` until its first owner's grant or hand-over says.
-    whole_from: Option<Duration>,
-    /// Until when requests within the retention are missing since there were too many.
+    /// Time from which the record is complete; `None` until the grant to a first owner or a handover
+    /// determines it.
+    complete_from: Option<Duration>,
+    /// Time until which requests within the retention are missing, since the record was full.
     overflowed_until: Duration,
 }
 
 impl Record {
-    /// Whether every request within the retention is in the record.
-    pub(crate) fn is_whole(&self, now: Duration) -> bool {
-        self.whole_from.is_some_and(|from| from <= now)
+    /// Whether the record contains every request within the retention.
+    pub(crate) fn is_complete(&self, now: Duration) -> bool {
+        self.complete_from.is_some_and(|from| from <= now)
     }
 
-    /// Whether requests within the retention were dropped since there were too many.
+    /// Whether requests within the retention were evicted since the record was full.
     pub(crate) fn overflowed(&self, now: Duration) -> bool {
         self.overflowed_until > now
     }
 
-    /// States that nothing is missing.
-    pub(crate) fn set_whole(&mut self, now: Duration) {
-        self.whole_from = Some(now);
+    /// Marks the record as complete from `now` on.
+    pub(crate) fn set_complete(&mut self, now: Duration) {
+        self.complete_from = Some(now);
     }
 
-    /// States that requests before `now` are missing; they age out with the retention.
+    /// Marks requests before `now` as missing. The record is complete again after the retention, when
+    /// these requests can no longer be resent.
     pub(crate) fn set_incomplete(&mut self, now: Duration, config: &HolderConfig) {
-        self.whole_from = Some(now + config.retention);
+        self.complete_from = Some(now + config.retention);
     }
 
     pub(crate) fn state(&self, request_id: &RequestId) -> Option<EntryState> {
@@ -124,18 +127,18 @@
 
     pub(crate) fn counts(&self) -> Counts {
         Counts {
-            kept: self.kept.len(),
+            non_repeatable: self.non_repeatable.len(),
             repeatable: self.repeatable.len(),
         }
     }
 
-    /// Forgets the oldest finished requests until at most `room` are left.
-    pub(crate) fn shrink_to(&mut self, now: Duration, room: Counts, config: &HolderConfig) {
-        while self.repeatable.len() > room.repeatable {
-            self.forget(true);
+    /// Evicts the oldest finished requests until at most `limit` are left.
+    pub(crate) fn shrink_to(&mut self, now: Duration, limit: Counts, config: &HolderConfig) {
+        while self.repeatable.len() > limit.repeatable {
+            self.evict_oldest(true);
         }
-        while self.kept.len() > room.kept {
-            self.overflow(now, config);
+        while self.non_repeatable.len() > limit.non_repeatable {
+            self.evict_unexpired(now, config);
         }
     }
 
@@ -147,7 +150,7 @@
         self.entries.remove(request_id);
     }
 
-    /// Notes an unfinished state.
+    /// Stores a request that is not finished.
     pub(crate) fn put_running(&mut self, id: &RequestId, state: EntryState, repeatable: bool) {
         self.generation += 1;
         let entry = Entry {
@@ -158,7 +161,7 @@
         self.entries.insert(id.clone(), entry);
     }
 
-    /// Notes a finished state, which is kept for the retention.
+    /// Stores a finished request, which is kept for the retention.
     pub(crate) fn put_finished(
         &mut self,
         now: Duration,
@@ -168,30 +171,30 @@
         config: &HolderConfig,
     ) {
         self.put_running(id, state, repeatable);
-        let place = Place {
+        let queued = QueuedEntry {
             finished_at: now,
             request_id: id.clone(),
             generation: self.generation,
         };
         let queue = match repeatable {
             true => &mut self.repeatable,
-            false => &mut self.kept,
+            false => &mut self.non_repeatable,
         };
-        queue.push_back(place);
-        self.bound(now, config);
+        queue.push_back(queued);
+        self.enforce_bounds(now, config);
     }
 
-    /// Forgets what is older than the retention.
+    /// Evicts finished requests older than the retention.
     pub(crate) fn expire(&mut self, now: Duration, config: &HolderConfig) {
-        while front_is_older(&self.kept, now, config.retention) {
-            self.forget(false);
+        while front_is_older(&self.non_repeatable, now, config.retention) {
+            self.evict_oldest(false);
         }
         while front_is_older(&self.repeatable, now, config.repeatable_retention) {
-            self.forget(true);
+            self.evict_oldest(true);
         }
     }
 
-    /// Finished requests that may not be repeated, for the next owner.
+    /// The non-repeatable requests, finished or not, for the next owner.
     pub(crate) fn handover_entries(&self) -> Vec<RecordEntry> {
         let wanted = self.entries.iter().filter(|(_, entry)| !entry.repeatable);
         wanted
@@ -202,8 +205,8 @@
             .collect()
     }
 
-    /// Takes in the previous owner's record, and is whole from now on if that one is.
-    pub(crate) fn take_over(
+    /// Merges the previous owner's record. This record is complete from `now` on if that one is.
+    pub(crate) fn import(
         &mut self,
         now: Duration,
         handed_over: &HandoverAnswer,
@@ -213,7 +216,8 @@
             self.merge(now, &handed_over.entries, config);
             return;
         }
-        // What was cancelled here and isn't in the whole record before did not run.
+        // A request that was cancelled here and is missing from the complete previous record did not
+        // run.
         let unproven = EntryState::Tombstone { proven: false };
         for entry in self.entries.values_mut() {
             if entry.state == unproven {
@@ -221,32 +225,32 @@
             }
         }
         if self.merge(now, &handed_over.entries, config) {
-            self.set_whole(now);
+            self.set_complete(now);
         }
     }
 
-    /// Takes in the previous owner's entries; `false` when one of them has no final state.
+    /// Merges the previous owner's entries; `false` if one of them has no final state.
     fn merge(&mut self, now: Duration, entries: &[RecordEntry], config: &HolderConfig) -> bool {
-        let mut whole = true;
+        let mut complete = true;
         for entry in entries {
             let state = match entry.state {
                 RequestState::Ran => EntryState::Ran,
                 RequestState::NotRun => EntryState::Tombstone { proven: true },
                 RequestState::Unknown => EntryState::Tombstone { proven: false },
                 RequestState::Running | RequestState::Unseen => {
-                    whole = false;
+                    complete = false;
                     continue;
                 }
             };
-            if self.yields_to(&entry.request_id, state) {
+            if self.is_replaced_by(&entry.request_id, state) {
                 self.put_finished(now, &entry.request_id, state, false, config);
             }
         }
-        whole
+        complete
     }
 
-    /// Whether what is known of a request gives way to `handed_over`.
-    fn yields_to(&self, request_id: &RequestId, handed_over: EntryState) -> bool {
+    /// Whether `handed_over` replaces the known state of a request.
+    fn is_replaced_by(&self, request_id: &RequestId, handed_over: EntryState) -> bool {
         match self.state(request_id) {
             None | Some(EntryState::Admitted(_)) => true,
             Some(EntryState::Tombstone { .. }) => {
@@ -256,42 +260,44 @@
         }
     }
 
-    fn bound(&mut self, now: Duration, config: &HolderConfig) {
+    fn enforce_bounds(&mut self, now: Duration, config: &HolderConfig) {
         self.expire(now, config);
-        while self.kept.len() > config.entries_per_shard {
-            self.overflow(now, config);
+        while self.non_repeatable.len() > config.entries_per_shard {
+            self.evict_unexpired(now, config);
         }
         while self.repeatable.len() > config.entries_per_shard {
-            self.forget(true);
+            self.evict_oldest(true);
         }
     }
 
-    /// Forgets the oldest request that may not be repeated, within its retention.
-    fn overflow(&mut self, now: Duration, config: &HolderConfig) {
-        self.forget(false);
+    /// Evicts the oldest non-repeatable request within its retention, so that the record becomes
+    /// incomplete.
+    fn evict_unexpired(&mut self, now: Duration, config: &HolderConfig) {
+        self.evict_oldest(false);
         self.set_incomplete(now, config);
         self.overflowed_until = now + config.retention;
     }
 
-    fn forget(&mut self, repeatable: bool) {
+    fn evict_oldest(&mut self, repeatable: bool) {
         let queue = match repeatable {
             true => &mut self.repeatable,
-            false => &mut self.kept,
+            false => &mut self.non_repeatable,
         };
-        let Some(place) = queue.pop_front() else {
+        let Some(queued) = queue.pop_front() else {
             return;
         };
-        let entry = self.entries.get(&place.request_id);
-        let current = entry
-            .is_some_and(|entry| entry.generation == place.generation && entry.state.finished());
+        let entry = self.entries.get(&queued.request_id);
+        let current = entry.is_some_and(|entry| {
+            entry.generation == queued.generation && entry.state.is_finished()
+        });
         if current {
-            self.entries.remove(&place.request_id);
+            self.entries.remove(&queued.request_id);
         }
     }
 }
 
-fn front_is_older(queue: &VecDeque<Place>, now: Duration, retention: Duration) -> bool {
+fn front_is_older(queue: &VecDeque<QueuedEntry>, now: Duration, retention: Duration) -> bool {
     queue
         .front()
-        .is_some_and(|place| now.saturating_sub(place.finished_at) > retention)
+        .is_some_and(|queued| now.saturating_sub(queued.finished_at) > retention)
 }
--- a/crates/holder/src/requests.rs
+++ b/crates/holder/src/requests.rs
@@ -1,7 +1,7 @@
-//! Requests: begin, check before the effect, finish, cancel, look-up of an outcome.
+//! Requests: begin, check before the effect, finish, cancel, and lookup of an outcome.
 //!
 //! Invariant: between [`Holder::before_effect`] and [`Holder::finish`] no cancellation is
-//! acknowledged as not run, and after an acknowledged one `before_effect` refuses.
+//! answered with `not-run`, and after such an answer `before_effect` refuses.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
 use crate::holder::{Holder, Shard};
 use crate::record::EntryState;
 
-/// A request that was begun. It is given back with [`Holder::finish`] in every case.
+/// A request that was begun. It must be passed to [`Holder::finish`] in every case, also when it was
+/// not run.
 #[derive(Debug)]
 #[must_use = "a begun request is finished in every case"]
 pub struct Permit {
@@ -29,27 +30,27 @@
 }
 
 impl Permit {
-    /// Tells this permit from every other of the same start of the server.
+    /// Unique among the permits since the start of the server.
     pub fn token(&self) -> u64 {
         self.token
     }
 }
 
-/// What is to be done with a request.
+/// How to proceed with a request.
 #[derive(Debug)]
 pub enum Begun {
-    /// Run it.
+    /// Run the request with this permit.
     Run(Permit),
-    /// An earlier attempt ran. Don't run it again; answer that it ran.
+    /// An earlier attempt ran. The request must not run again; the answer states that it ran.
     RanEarlier,
 }
 
-/// Whether a request's effect was made.
+/// Whether a request's effect took place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Made.
+    /// The effect took place.
     Made,
-    /// Not made, and it never will be.
+    /// The effect did not take place and never will.
     NotMade,
 }
 
@@ -57,11 +58,11 @@
     /// Begins a request.
     ///
     /// # Errors
-    /// The reason why this attempt is not run. Of a resend it says nothing about earlier attempts,
-    /// except for [`Refusal::Cancelled`].
+    /// The reason why this attempt is not run. For a resend it doesn't tell whether an earlier
+    /// attempt ran, except for [`Refusal::Cancelled`].
     pub fn begin(&mut self, now: Duration, request: &Request) -> Result<Begun, Refusal> {
-        self.lapse(now);
-        if request.deadline_left < self.config.least_deadline {
+        self.expire_leases(now);
+        if request.deadline_left < self.config.minimum_deadline {
             return Err(Refusal::Deadline);
         }
         let key = ShardKey {
@@ -69,7 +70,7 @@
             shard: request.shard,
         };
         let shard = self.shards.get(&key).ok_or(Refusal::WrongEpoch)?;
-        if self.config.guards.has(Guard::EpochCheck) {
+        if self.config.guards.is_enabled(Guard::EpochCheck) {
             self.check_held(now, shard, request.epoch)?;
         }
         if self.is_releasing(now, shard) {
@@ -78,21 +79,22 @@
         if self.ran_earlier(now, shard, request)? {
             return Ok(Begun::RanEarlier);
         }
-        if self.refuses_new_work(now) {
+        if self.is_drain_grace_over(now) {
             return Err(Refusal::Draining);
         }
         Ok(Begun::Run(self.admit(now, key, request)))
     }
 
-    /// Looks again whether the effect may be made; call it right before, and make the effect
-    /// without waiting for anything in between.
+    /// Checks again whether the effect is allowed. Call it immediately before the effect, without
+    /// blocking in between.
     ///
     /// # Errors
-    /// The effect must not be made; finish the permit with [`Effect::NotMade`] and answer the refusal.
+    /// The effect must not take place. The caller finishes the permit with [`Effect::NotMade`] and
+    /// answers with the refusal.
     pub fn before_effect(&mut self, now: Duration, permit: &Permit) -> Result<(), Refusal> {
-        self.lapse(now);
+        self.expire_leases(now);
         let shard = self.shards.get(&permit.key).ok_or(Refusal::WrongEpoch)?;
-        if self.config.guards.has(Guard::EpochCheck) {
+        if self.config.guards.is_enabled(Guard::EpochCheck) {
             self.check_held(now, shard, permit.epoch)?;
             let remaining = self.lease_remaining(now, permit.group);
             let ended = self.session(permit.group) != permit.session;
@@ -113,7 +115,7 @@
         Ok(())
     }
 
-    /// Ends a request that was begun.
+    /// Ends a request that was begun and records whether its effect took place.
     pub fn finish(&mut self, now: Duration, permit: Permit, effect: Effect) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.change_record(now, &permit.key, |shard, config| {
@@ -136,16 +138,16 @@
         });
     }
 
-    /// Cancels a request. `attempt` is the attempt the asking router sent, 1 for the caller's
-    /// first; `None` when it isn't known. `not-run` is answered only where no attempt up to that
-    /// one can have run.
+    /// Cancels a request. `attempt` is the number of the attempt that the cancelling router sent, 1
+    /// for the caller's first; `None` if unknown. The answer is `not-run` only if no attempt up to
+    /// that one can have run.
     pub fn cancel(
         &mut self,
         now: Duration,
         request: &CancelRequest,
         attempt: Option<u32>,
     ) -> CancelAnswer {
-        self.lapse(now);
+        self.expire_leases(now);
         let key = ShardKey {
             service: request.service.clone(),
             shard: request.shard,
@@ -163,7 +165,7 @@
             Some(EntryState::Ran | EntryState::Committing(_)) => state,
             _ if !owns => return unknown,
             Some(EntryState::Tombstone { proven: true }) => state,
-            _ => Some(self.bury(now, &key, request, attempt)),
+            _ => Some(self.insert_tombstone(now, &key, request, attempt)),
         };
         CancelAnswer {
             state: state.map_or(RequestState::Unknown, EntryState::request_state),
@@ -171,28 +173,29 @@
         }
     }
 
-    /// What the server knows of a request.
+    /// State of a request according to the record; [`RequestState::Unseen`] only if the shard is held
+    /// and its record is complete.
     pub fn outcome(&mut self, now: Duration, key: &ShardKey, id: &RequestId) -> OutcomeAnswer {
-        self.lapse(now);
+        self.expire_leases(now);
         let epoch = self.held_epoch(key);
         let state = self.shards.get(key).map_or(RequestState::Unknown, |shard| {
             match shard.record.state(id) {
                 Some(EntryState::Ran) => RequestState::Ran,
                 Some(state) if shard.held => state.request_state(),
-                None if shard.held && shard.record.is_whole(now) => RequestState::Unseen,
+                None if shard.held && shard.record.is_complete(now) => RequestState::Unseen,
                 _ => RequestState::Unknown,
             }
         });
         OutcomeAnswer { state, epoch }
     }
 
-    /// Epoch at which the shard is held; 0 for none.
+    /// Epoch at which the shard is held; 0 if it isn't held.
     pub fn held_epoch(&self, key: &ShardKey) -> Epoch {
         let held = self.shards.get(key).filter(|shard| shard.held);
         held.map_or(Epoch(0), |shard| shard.epoch)
     }
 
-    /// Whether `shard` is held at `epoch` under a running lease.
+    /// Checks that `shard` is held at `epoch` under a valid lease.
     fn check_held(&self, now: Duration, shard: &Shard, epoch: Epoch) -> Result<(), Refusal> {
         if shard.epoch != epoch {
             return Err(Refusal::WrongEpoch);
@@ -206,7 +209,8 @@
         }
     }
 
-    /// What the record says of a request that is to begin.
+    /// Whether an earlier attempt ran according to the record; an error if the record forbids this
+    /// attempt.
     fn ran_earlier(
         &self,
         now: Duration,
@@ -223,21 +227,23 @@
             }
             Some(EntryState::Tombstone { .. }) => Err(Refusal::Cancelled),
             Some(EntryState::Ran) => Ok(!request.repeatable),
-            None if request.repeatable || !self.config.guards.has(Guard::ResendRule) => Ok(false),
+            None if request.repeatable || !self.config.guards.is_enabled(Guard::ResendRule) => {
+                Ok(false)
+            }
             None if shard.awaiting_record => Err(Refusal::Releasing),
-            None if resend && !shard.record.is_whole(now) => Err(Refusal::RecordIncomplete),
+            None if resend && !shard.record.is_complete(now) => Err(Refusal::RecordIncomplete),
             None => Ok(false),
         }
     }
 
     fn is_releasing(&self, now: Duration, shard: &Shard) -> bool {
-        let patience = self.config.release_patience;
+        let timeout = self.config.release_timeout;
         shard
-            .release_asked
-            .is_some_and(|asked| now.saturating_sub(asked) < patience)
+            .release_requested_at
+            .is_some_and(|requested_at| now.saturating_sub(requested_at) < timeout)
     }
 
-    fn refuses_new_work(&self, now: Duration) -> bool {
+    fn is_drain_grace_over(&self, now: Duration) -> bool {
         let grace = self.config.drain_grace;
         self.draining_since
             .is_some_and(|since| now.saturating_sub(since) >= grace)
@@ -266,27 +272,27 @@
         }
     }
 
-    /// Leaves a tombstone for a request whose effect was not allowed yet.
-    fn bury(
+    /// Stores a tombstone for a request whose effect was not allowed yet.
+    fn insert_tombstone(
         &mut self,
         now: Duration,
         key: &ShardKey,
         request: &CancelRequest,
         attempt: Option<u32>,
     ) -> EntryState {
-        let buried = self.change_record(now, key, |shard, config| {
+        let inserted = self.change_record(now, key, |shard, config| {
             let id = &request.request_id;
             let record = &mut shard.record;
             let begun_here = matches!(record.state(id), Some(EntryState::Admitted(_)));
             let first_attempt = attempt == Some(1);
-            let proven = first_attempt || begun_here || record.is_whole(now);
+            let proven = first_attempt || begun_here || record.is_complete(now);
             let tombstone = EntryState::Tombstone { proven };
-            if config.guards.has(Guard::Tombstone) {
+            if config.guards.is_enabled(Guard::Tombstone) {
                 let repeatable = record.is_repeatable(id);
                 record.put_finished(now, id, tombstone, repeatable, config);
             }
             tombstone
         });
-        buried.unwrap_or(EntryState::Tombstone { proven: false })
+        inserted.unwrap_or(EntryState::Tombstone { proven: false })
     }
 }
--- a/crates/holder/tests/common/mod.rs
+++ b/crates/holder/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A holder with the usual messages in short form.
+//! A holder under test, with short forms of the messages that it receives.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -47,7 +47,7 @@
     }
 }
 
-/// A request of shard 0 that may not be repeated, first attempt.
+/// First attempt of a non-repeatable request of shard 0.
 pub fn request(name: &str, epoch: u64) -> Request {
     Request {
         service: "ledger".parse().unwrap(),
@@ -94,15 +94,15 @@
         }
     }
 
-    /// With a lease from 0 ms to `LEASE_MS`.
+    /// A server with a lease from 0 ms to `LEASE_MS`.
     pub fn leased(guards: Guards) -> Self {
         let mut server = Self::new(guards);
-        server.beat(0, false);
-        assert!(server.beat(0, true).renewed);
+        server.leader_heartbeat(0, false);
+        assert!(server.leader_heartbeat(0, true).renewed);
         server
     }
 
-    /// As `leased`, and holding shard 0 as its first owner at epoch 5.
+    /// As `leased`, with shard 0 held as its first owner at epoch 5.
     pub fn serving(guards: Guards) -> Self {
         let mut server = Self::leased(guards);
         assert_eq!(server.grant(0, 0, 5, None), None);
@@ -127,8 +127,8 @@
         }
     }
 
-    /// A heartbeat as a leader sends it: returns the newest nonce and session.
-    pub fn beat(&mut self, at: u64, renew: bool) -> HeartbeatAnswer {
+    /// Sends a heartbeat as a leader does: a renewal carries the newest nonce and session.
+    pub fn leader_heartbeat(&mut self, at: u64, renew: bool) -> HeartbeatAnswer {
         let renewal = renew.then(|| self.renewal());
         let answer = self.heartbeat(at, renewal);
         self.nonce = answer.nonce;
@@ -136,10 +136,10 @@
         answer
     }
 
-    /// Renews until the lease runs from `at`.
+    /// Renews the lease with a nonce issued at `at`.
     pub fn renew_at(&mut self, at: u64) {
-        self.beat(at, false);
-        assert!(self.beat(at, true).renewed);
+        self.leader_heartbeat(at, false);
+        assert!(self.leader_heartbeat(at, true).renewed);
     }
 
     pub fn grant_outcome(
@@ -163,7 +163,7 @@
         self.holder.grant(ms(at), &request)
     }
 
-    /// The refusal, if it was refused.
+    /// Sends a grant; returns the reason if it was refused.
     pub fn grant(
         &mut self,
         at: u64,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Runs a request to its end; whether its effect was made now.
+    /// Runs a request to its end; `false` if an earlier attempt ran.
     pub fn run(&mut self, at: u64, request: &Request) -> Result<bool, Refusal> {
         let permit = match self.holder.begin(ms(at), request)? {
             Begun::Run(permit) => permit,
@@ -202,7 +202,7 @@
         self.complete(at, permit).map(|()| true)
     }
 
-    /// Makes the effect of a begun request, if it is allowed.
+    /// Finishes a begun request, with its effect if that is allowed.
     pub fn complete(&mut self, at: u64, permit: Permit) -> Result<(), Refusal> {
         let allowed = self.holder.before_effect(ms(at), &permit);
         let effect = match allowed {
@@ -233,7 +233,7 @@
         self.holder.outcome(ms(at), &key(0), &id(name)).state
     }
 
-    pub fn handed_over(&mut self, at: u64, epoch: u64, answer: Option<HandoverAnswer>) {
+    pub fn complete_handover(&mut self, at: u64, epoch: u64, answer: Option<HandoverAnswer>) {
         self.holder
             .complete_handover(ms(at), &held(0, epoch), answer.as_ref());
     }
--- a/crates/holder/tests/leases.rs
+++ b/crates/holder/tests/leases.rs
@@ -24,8 +24,8 @@
     ];
     for (arrives, renewed, left) in table {
         let mut server = Server::new(Guards::all());
-        server.beat(0, false);
-        let answer = server.beat(arrives, true);
+        server.leader_heartbeat(0, false);
+        let answer = server.leader_heartbeat(arrives, true);
         assert_eq!(
             (answer.renewed, answer.lease_remaining_ms),
             (renewed, left),
@@ -67,43 +67,43 @@
 #[test]
 fn a_lease_of_any_length_is_bounded() {
     let mut server = Server::leased(Guards::all());
-    let endless = LeaseRenewal {
+    let unbounded = LeaseRenewal {
         duration_ms: u64::MAX,
         ..server.renewal()
     };
     assert_eq!(
-        server.heartbeat(0, Some(endless)).lease_remaining_ms,
+        server.heartbeat(0, Some(unbounded)).lease_remaining_ms,
         60_000
     );
 }
 
 #[test]
 fn only_the_newest_nonces_count() {
-    for (beats_between, renewed) in [(0, true), (7, true), (8, false)] {
+    for (heartbeats_between, renewed) in [(0, true), (7, true), (8, false)] {
         let mut server = Server::leased(Guards::all());
         let old = server.renewal();
-        (0..beats_between).for_each(|_| {
+        (0..heartbeats_between).for_each(|_| {
             server.heartbeat(10, None);
         });
         assert_eq!(
             server.heartbeat(20, Some(old)).renewed,
             renewed,
-            "{beats_between}"
+            "{heartbeats_between}"
         );
     }
 }
 
 #[test]
-fn a_lapse_drops_everything_and_ends_the_session() {
+fn lease_expiry_drops_everything_and_ends_the_session() {
     let mut server = Server::serving(Guards::all());
     let delayed_session = server.session;
-    let answer = server.beat(LEASE_MS, true);
+    let answer = server.leader_heartbeat(LEASE_MS, true);
     assert!(!answer.renewed);
     assert_eq!((answer.held, answer.held_checksum), (0, 0));
     assert_ne!(answer.session, delayed_session);
     assert!(
-        server.beat(LEASE_MS, true).renewed,
-        "a lease of the new session"
+        server.leader_heartbeat(LEASE_MS, true).renewed,
+        "lease in the new session"
     );
     let current = std::mem::replace(&mut server.session, delayed_session);
     let refused = server.grant(LEASE_MS, 0, 5, None);
@@ -117,16 +117,16 @@
     let mut first = Server::leased(Guards::all());
     let renewal = first.renewal();
     let mut second = Server::with_config(HolderConfig::new(BOOT + 1_000_000));
-    second.beat(0, false);
+    second.leader_heartbeat(0, false);
     assert!(!second.heartbeat(0, Some(renewal)).renewed);
-    assert_eq!(first.beat(0, false).boot, BOOT);
+    assert_eq!(first.leader_heartbeat(0, false).boot, BOOT);
 }
 
 #[test]
 fn lower_terms_change_nothing() {
     let mut server = Server::serving(Guards::all());
     server.term = Term(3);
-    server.beat(10, true);
+    server.leader_heartbeat(10, true);
     server.term = Term(2);
     let answer = server.heartbeat(20, Some(server.renewal()));
     assert_eq!((answer.renewed, answer.nonce), (false, Nonce(0)));
@@ -155,7 +155,7 @@
     }
     let leased = (0..200)
         .filter(|group| server.holder.heartbeat(ms(1), &heartbeat(*group)).nonce != Nonce(0));
-    // Group 1 has heard a higher term than these heartbeats carry.
+    // Group 1 has seen a higher term than the one in these heartbeats.
     assert_eq!(leased.count(), MAXIMUM_GROUPS - 1);
 }
 
@@ -168,10 +168,10 @@
         ("higher epoch", |_| {}, 6, None),
         ("lower epoch", |_| {}, 4, Some(GrantRefusalReason::StaleEpoch)),
         ("released", |server| { server.release(0, 0, 5); }, 5, Some(GrantRefusalReason::StaleEpoch)),
-        ("release of a grant not yet here", |server| { server.release(0, 0, 8); }, 8, Some(GrantRefusalReason::StaleEpoch)),
+        ("released before the grant arrived", |server| { server.release(0, 0, 8); }, 8, Some(GrantRefusalReason::StaleEpoch)),
         ("after a release", |server| { server.release(0, 0, 5); }, 6, None),
-        ("leaving", |server| server.holder.drain(ms(0), true), 6, Some(GrantRefusalReason::Draining)),
-        ("leaving, held already", |server| server.holder.drain(ms(0), true), 5, None),
+        ("draining", |server| server.holder.drain(ms(0), true), 6, Some(GrantRefusalReason::Draining)),
+        ("draining, held already", |server| server.holder.drain(ms(0), true), 5, None),
     ];
     for (name, prepare, epoch, refusal) in table {
         let mut server = Server::serving(Guards::all());
@@ -179,7 +179,7 @@
         assert_eq!(server.grant(1, 0, epoch, None), refusal, "{name}");
     }
     let mut server = Server::new(Guards::all());
-    server.beat(0, false);
+    server.leader_heartbeat(0, false);
     assert_eq!(
         server.grant(0, 0, 5, None),
         Some(GrantRefusalReason::NoLease)
@@ -191,7 +191,7 @@
     let mut server = Server::serving(Guards::all());
     server.grant(0, 3, 6, None);
     server.grant(0, 0, 7, Some(previous(5, false)));
-    let answer = server.beat(1, true);
+    let answer = server.leader_heartbeat(1, true);
     let service: ServiceName = "ledger".parse().unwrap();
     let holdings = server.holder.holdings(ms(1), GROUP);
     assert_eq!(holdings.shards, [held(0, 7), held(3, 6)]);
@@ -214,17 +214,17 @@
     assert_eq!(
         server.release(6, 0, 5).released,
         [held(0, 5)],
-        "asked again"
+        "repeated release request"
     );
     assert_eq!(server.run(7, &request("b", 5)), Err(Refusal::WrongEpoch));
 }
 
 #[test]
-fn release_of_a_lapsed_shard_waits_for_an_effect_under_way() {
+fn release_after_lease_expiry_waits_for_an_effect_in_progress() {
     let mut server = Server::serving(Guards::all());
     let permit = server.begin(1, &request("a", 5)).unwrap();
     server.holder.before_effect(ms(2), &permit).unwrap();
-    server.beat(LEASE_MS, false);
+    server.leader_heartbeat(LEASE_MS, false);
     assert_eq!(server.release(LEASE_MS, 0, 5).busy[0].in_flight, 1);
     server.holder.finish(ms(LEASE_MS), permit, Effect::Made);
     assert_eq!(server.release(LEASE_MS, 0, 5).released, [held(0, 5)]);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_release_not_asked_again_is_given_up() {
+fn a_release_that_is_not_repeated_times_out() {
     let mut server = Server::serving(Guards::all());
     let permit = server.begin(1, &request("a", 5)).unwrap();
     server.release(2, 0, 5);
@@ -284,20 +284,20 @@
 
 #[test]
 fn removed_guards_let_old_messages_through() {
-    let mut stuck = Server::new(Guards::without(Guard::Nonce));
-    stuck.beat(0, false);
+    let mut delayed = Server::new(Guards::without(Guard::Nonce));
+    delayed.leader_heartbeat(0, false);
     assert!(
-        stuck.beat(5 * LEASE_MS, true).renewed,
-        "a renewal stuck for five leases"
+        delayed.leader_heartbeat(5 * LEASE_MS, true).renewed,
+        "renewal delayed by five lease durations"
     );
 
-    let mut lapsed = Server::serving(Guards::without(Guard::Session));
-    let old = lapsed.session;
-    lapsed.renew_at(2 * LEASE_MS);
-    lapsed.session = old;
+    let mut expired = Server::serving(Guards::without(Guard::Session));
+    let old = expired.session;
+    expired.renew_at(2 * LEASE_MS);
+    expired.session = old;
     assert_eq!(
-        lapsed.grant(2 * LEASE_MS, 0, 5, None),
+        expired.grant(2 * LEASE_MS, 0, 5, None),
         None,
-        "a grant delayed across a lapse"
+        "grant delayed beyond the end of its session"
     );
 }
--- a/crates/holder/tests/owners.rs
+++ b/crates/holder/tests/owners.rs
@@ -1,6 +1,6 @@
-//! One shard that wanders among three servers, which are lost, come back and restart, while packets
-//! of callers, cancellations and records arrive at any time: a request runs once at most, and one
-//! that was called not-run never.
+//! Random schedules for one shard that moves among three servers. Leases expire, servers restart, and
+//! requests, cancellations and handover answers arrive late and in any order. A request must run at
+//! most once, and no attempt may run that was answered as not run.
 
 mod common;
 
@@ -16,25 +16,25 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The owner releases the shard, if it can, and `to` gets it.
+    /// The owner is asked to release the shard; if it does, `to` becomes the owner.
     Move { to: usize },
-    /// The owner's lease runs out, and `to` gets the shard.
+    /// The owner's lease expires, and `to` becomes the owner.
     Lose { to: usize },
-    /// The owner's lease runs out, and it gets the shard again at the same epoch.
-    Lapse,
-    /// A server starts anew; if it owns the shard, it gets a fresh epoch.
+    /// The owner's lease expires, and it is granted the shard again at the same epoch.
+    Expire,
+    /// A server restarts; if it owns the shard, it is granted the shard at a new epoch.
     Restart { server: usize },
-    /// The next attempt of a request leaves a router for the owner of this moment.
+    /// A router sends the next attempt of a request to the current owner.
     Send { request: usize },
-    /// A packet arrives; it may be one that left long ago.
+    /// A message arrives, possibly after a long delay.
     Arrive { place: usize },
-    /// A request that was begun makes its effect, if it may.
+    /// A begun request finishes, with its effect if that is allowed.
     Finish { place: usize },
-    /// The router that sent a packet cancels its request.
+    /// The router that sent a message cancels its request.
     Cancel { place: usize },
-    /// The previous owner answers a fetch; the answer is under way.
-    Ask { place: usize },
-    /// An answer to a fetch arrives.
+    /// The previous owner answers a fetch; the answer has not arrived yet.
+    AnswerFetch { place: usize },
+    /// The answer to a fetch arrives.
     HandOver { place: usize },
     /// A fetch fails.
     FetchFails { place: usize },
@@ -46,35 +46,35 @@
     prop_oneof![
         3 => server.clone().prop_map(|to| Step::Move { to }),
         2 => server.clone().prop_map(|to| Step::Lose { to }),
-        1 => Just(Step::Lapse),
+        1 => Just(Step::Expire),
         1 => server.prop_map(|server| Step::Restart { server }),
         5 => (0..REQUESTS).prop_map(|request| Step::Send { request }),
         8 => place.clone().prop_map(|place| Step::Arrive { place }),
         6 => place.clone().prop_map(|place| Step::Finish { place }),
         2 => place.clone().prop_map(|place| Step::Cancel { place }),
-        4 => place.clone().prop_map(|place| Step::Ask { place }),
+        4 => place.clone().prop_map(|place| Step::AnswerFetch { place }),
         4 => place.clone().prop_map(|place| Step::HandOver { place }),
         1 => place.prop_map(|place| Step::FetchFails { place }),
     ]
 }
 
 #[derive(Clone, Copy)]
-struct Packet {
+struct Message {
     request: usize,
     attempt: u32,
     server: usize,
     epoch: u64,
-    /// A packet arrives once.
+    /// Each message is delivered at most once.
     arrived: bool,
 }
 
 struct Running {
-    packet: Packet,
+    message: Message,
     boot: u64,
     permit: Permit,
 }
 
-/// A fetch of one server with the answer under way, if the previous owner gave one.
+/// A fetch by one server, with the previous owner's answer if there is one.
 struct Fetch {
     by: usize,
     boot: u64,
@@ -90,12 +90,12 @@
     epoch: u64,
     previous: Option<PreviousOwner>,
     attempts: [u32; REQUESTS],
-    packets: Vec<Packet>,
+    messages: Vec<Message>,
     running: Vec<Running>,
     fetches: Vec<Fetch>,
-    /// Attempts that made the effect.
+    /// Attempts whose effect took place, by request.
     effects: BTreeMap<usize, Vec<u32>>,
-    /// Highest attempt called not-run.
+    /// Highest attempt answered as not run, by request.
     not_run: BTreeMap<usize, u32>,
 }
 
@@ -103,8 +103,8 @@
     fn new() -> Self {
         let start = |number: usize| {
             let mut server = Server::with_config(HolderConfig::new(1_000_000 * number as u64));
-            server.beat(0, false);
-            server.beat(0, true);
+            server.leader_heartbeat(0, false);
+            server.leader_heartbeat(0, true);
             server
         };
         let mut world = Self {
@@ -115,7 +115,7 @@
             epoch: 1,
             previous: None,
             attempts: [0; REQUESTS],
-            packets: Vec::new(),
+            messages: Vec::new(),
             running: Vec::new(),
             fetches: Vec::new(),
             effects: BTreeMap::new(),
@@ -129,7 +129,7 @@
         self.servers[server].holder.boot()
     }
 
-    /// Commits a new owner and grants it the shard.
+    /// Assigns the shard to a new owner at the next epoch and grants it.
     fn assign(&mut self, to: usize, released: bool) {
         self.previous = Some(PreviousOwner {
             server: format!("s{}", self.owner).parse().unwrap(),
@@ -157,12 +157,12 @@
         self.fetches.extend(fetches);
     }
 
-    /// Lets the lease of `silent` run out, while the others' go on.
-    fn pass_lease_without(&mut self, silent: usize) {
+    /// Lets the lease of `expiring` expire while the other leases are renewed.
+    fn expire_lease_of(&mut self, expiring: usize) {
         for _ in 0..3 {
             self.now += 400;
             for (number, server) in self.servers.iter_mut().enumerate() {
-                if number != silent {
+                if number != expiring {
                     server.renew_at(self.now);
                 }
             }
@@ -180,12 +180,12 @@
                 }
             }
             Step::Lose { to } if to != self.owner => {
-                self.pass_lease_without(self.owner);
+                self.expire_lease_of(self.owner);
                 self.assign(to, false);
             }
             Step::Lose { .. } => {}
-            Step::Lapse => {
-                self.pass_lease_without(self.owner);
+            Step::Expire => {
+                self.expire_lease_of(self.owner);
                 self.servers[self.owner].renew_at(self.now);
                 self.grant();
             }
@@ -195,7 +195,7 @@
             Step::Finish { place } if place < self.running.len() => self.finish(place),
             Step::Finish { .. } => {}
             Step::Cancel { place } => self.cancel(place),
-            Step::Ask { place } => self.ask(place),
+            Step::AnswerFetch { place } => self.answer_fetch(place),
             Step::HandOver { place } => self.hand_over(place),
             Step::FetchFails { place } if place < self.fetches.len() => {
                 let failed = self.fetches.remove(place);
@@ -220,7 +220,7 @@
 
     fn send(&mut self, request: usize) {
         self.attempts[request] += 1;
-        self.packets.push(Packet {
+        self.messages.push(Message {
             request,
             attempt: self.attempts[request],
             server: self.owner,
@@ -229,50 +229,53 @@
         });
     }
 
-    /// Places count from the newest packet.
-    fn packet(&mut self, place: usize) -> Option<&mut Packet> {
-        let from_end = self.packets.len().checked_sub(1 + place)?;
-        self.packets.get_mut(from_end)
+    /// The message at `place`, counted from the newest.
+    fn message(&mut self, place: usize) -> Option<&mut Message> {
+        let from_end = self.messages.len().checked_sub(1 + place)?;
+        self.messages.get_mut(from_end)
     }
 
     fn arrive(&mut self, place: usize) {
-        let Some(packet) = self.packet(place).filter(|packet| !packet.arrived) else {
+        let Some(message) = self.message(place).filter(|message| !message.arrived) else {
             return;
         };
-        packet.arrived = true;
-        let packet = *packet;
-        let asked = Request {
-            attempt: packet.attempt,
-            ..request(&format!("r{}", packet.request), packet.epoch)
+        message.arrived = true;
+        let message = *message;
+        let attempted = Request {
+            attempt: message.attempt,
+            ..request(&format!("r{}", message.request), message.epoch)
         };
-        let server = &mut self.servers[packet.server];
-        match server.holder.begin(ms(self.now), &asked) {
+        let server = &mut self.servers[message.server];
+        match server.holder.begin(ms(self.now), &attempted) {
             Ok(Begun::Run(permit)) => {
-                let boot = self.boot(packet.server);
+                let boot = self.boot(message.server);
                 self.running.push(Running {
-                    packet,
+                    message,
                     boot,
                     permit,
                 });
             }
             Ok(Begun::RanEarlier) => {
-                assert!(self.effects.contains_key(&packet.request), "never ran");
+                assert!(
+                    self.effects.contains_key(&message.request),
+                    "answered as run, but no attempt had an effect"
+                );
             }
-            Err(Refusal::Cancelled) => self.called_not_run(packet),
+            Err(Refusal::Cancelled) => self.answered_not_run(message),
             Err(_) => {}
         }
     }
 
     fn finish(&mut self, place: usize) {
         let Running {
-            packet,
+            message,
             boot,
             permit,
         } = self.running.remove(place);
-        if boot != self.boot(packet.server) {
+        if boot != self.boot(message.server) {
             return;
         }
-        let holder = &mut self.servers[packet.server].holder;
+        let holder = &mut self.servers[message.server].holder;
         let allowed = holder.before_effect(ms(self.now), &permit).is_ok();
         let effect = if allowed {
             Effect::Made
@@ -282,48 +285,48 @@
         holder.finish(ms(self.now), permit, effect);
         if allowed {
             assert_eq!(
-                (packet.server, packet.epoch),
+                (message.server, message.epoch),
                 (self.owner, self.epoch),
-                "not the owner"
+                "effect on a server that is not the owner"
             );
-            let effects = self.effects.entry(packet.request).or_default();
-            effects.push(packet.attempt);
-            assert_eq!(effects.len(), 1, "ran twice");
-            self.check(packet.request);
+            let effects = self.effects.entry(message.request).or_default();
+            effects.push(message.attempt);
+            assert_eq!(effects.len(), 1, "request ran twice");
+            self.check_not_run(message.request);
         }
     }
 
     fn cancel(&mut self, place: usize) {
-        let Some(packet) = self.packet(place).map(|packet| *packet) else {
+        let Some(message) = self.message(place).map(|message| *message) else {
             return;
         };
-        let server = &mut self.servers[packet.server];
-        let name = format!("r{}", packet.request);
-        let answer = server.cancel(self.now, &name, packet.epoch, Some(packet.attempt));
+        let server = &mut self.servers[message.server];
+        let name = format!("r{}", message.request);
+        let answer = server.cancel(self.now, &name, message.epoch, Some(message.attempt));
         match answer.state {
-            RequestState::NotRun => self.called_not_run(packet),
-            RequestState::Ran => assert!(self.effects.contains_key(&packet.request)),
+            RequestState::NotRun => self.answered_not_run(message),
+            RequestState::Ran => assert!(self.effects.contains_key(&message.request)),
             _ => {}
         }
     }
 
-    fn called_not_run(&mut self, packet: Packet) {
-        let attempt = self.not_run.entry(packet.request).or_default();
-        *attempt = packet.attempt.max(*attempt);
-        self.check(packet.request);
+    fn answered_not_run(&mut self, message: Message) {
+        let attempt = self.not_run.entry(message.request).or_default();
+        *attempt = message.attempt.max(*attempt);
+        self.check_not_run(message.request);
     }
 
-    /// No attempt up to one that was called not-run has an effect.
-    fn check(&self, request: usize) {
-        let told = self.not_run.get(&request).copied().unwrap_or(0);
+    /// Checks that no attempt up to the highest one answered as not run had an effect.
+    fn check_not_run(&self, request: usize) {
+        let highest_not_run = self.not_run.get(&request).copied().unwrap_or(0);
         let effects = self.effects.get(&request).into_iter().flatten();
         assert!(
-            effects.clone().all(|attempt| *attempt > told),
-            "not-run, but it ran"
+            effects.clone().all(|attempt| *attempt > highest_not_run),
+            "request had an effect although it was answered as not run"
         );
     }
 
-    fn ask(&mut self, place: usize) {
+    fn answer_fetch(&mut self, place: usize) {
         let now = self.now;
         let Some(fetch) = self.fetches.get_mut(place) else {
             return;
@@ -360,7 +363,7 @@
     #![proptest_config(ProptestConfig { cases: 6000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn requests_run_once_wherever_the_shard_goes(steps in proptest::collection::vec(step(), 1..120)) {
+    fn requests_run_once_across_owners(steps in proptest::collection::vec(step(), 1..120)) {
         let mut world = World::new();
         assert_eq!(world.servers[0].holder.held_epoch(&key(0)), held(0, 1).epoch);
         steps.iter().for_each(|step| world.step(step));
--- a/crates/holder/tests/records.rs
+++ b/crates/holder/tests/records.rs
@@ -1,4 +1,4 @@
-//! The record of requests: resends, hand-over, bounds.
+//! The request record: resends, handover, bounds.
 
 mod common;
 
@@ -14,18 +14,18 @@
             entries: Vec::new(),
         })
     };
-    let whole = Ok(true);
+    let runs = Ok(true);
     let incomplete = Err(Refusal::RecordIncomplete);
     let moving = Err(Refusal::Releasing);
-    // (name, previous owner, hand-over fetched, answer to a resend)
+    // (name, previous owner, result of the handover, answer to a resend)
     #[rustfmt::skip]
     let table = [
-        ("first owner", None, None, whole),
+        ("first owner", None, None, runs),
         ("lost owner", Some(previous(6, false)), None, incomplete),
         ("released, not fetched yet", Some(previous(6, true)), None, moving),
-        ("released, record whole", Some(previous(6, true)), Some(complete(true)), whole),
-        ("released, record not whole", Some(previous(6, true)), Some(complete(false)), incomplete),
-        ("released, record not to be had", Some(previous(6, true)), Some(None), incomplete),
+        ("released, record complete", Some(previous(6, true)), Some(complete(true)), runs),
+        ("released, record incomplete", Some(previous(6, true)), Some(complete(false)), incomplete),
+        ("released, fetch failed", Some(previous(6, true)), Some(None), incomplete),
     ];
     for (name, previous, fetched, expected) in table {
         let mut server = Server::leased(Guards::all());
@@ -36,7 +36,7 @@
             "{name}"
         );
         if let Some(answer) = fetched {
-            server.handed_over(1, 7, answer);
+            server.complete_handover(1, 7, answer);
         }
         assert_eq!(server.run(2, &resend("a", 7)), expected, "{name}");
         let first = if expected == moving { moving } else { Ok(true) };
@@ -59,8 +59,12 @@
     assert_eq!(server.run(1, &request("a", 5)), Ok(true));
     server.grant(2, 0, 8, Some(previous(5, false)));
     assert_eq!(server.run(3, &resend("a", 8)), Ok(false));
-    assert_eq!(server.run(3, &resend("b", 8)), Ok(true), "still whole");
-    // Another owner in between: what it ran is not known here.
+    assert_eq!(
+        server.run(3, &resend("b", 8)),
+        Ok(true),
+        "record still complete"
+    );
+    // Another owner held the shard in between; the requests that it ran are unknown here.
     server.grant(4, 0, 11, Some(previous(9, false)));
     assert_eq!(server.run(5, &resend("a", 11)), Ok(false));
     assert_eq!(
@@ -116,7 +120,7 @@
 
     let mut to = Server::leased(Guards::all());
     to.grant(5, 0, 6, Some(previous(5, true)));
-    to.handed_over(6, 6, Some(answer));
+    to.complete_handover(6, 6, Some(answer));
     assert_eq!(to.run(7, &resend("ran", 6)), Ok(false));
     assert_eq!(to.run(7, &resend("cancelled", 6)), Err(Refusal::Cancelled));
     assert_eq!(to.run(7, &resend("new", 6)), Ok(true));
@@ -128,11 +132,11 @@
     let mut server = Server::leased(Guards::all());
     server.grant(0, 0, 6, Some(previous(5, true)));
     server.grant(1, 0, 9, Some(previous(8, false)));
-    let whole = HandoverAnswer {
+    let complete = HandoverAnswer {
         complete: true,
         entries: Vec::new(),
     };
-    server.handed_over(2, 6, Some(whole.clone()));
+    server.complete_handover(2, 6, Some(complete.clone()));
     assert_eq!(
         server.run(3, &resend("a", 9)),
         Err(Refusal::RecordIncomplete)
@@ -140,8 +144,12 @@
     assert!(server.holder.wants_record(ms(4), &held(0, 9)));
     server.renew_at(LEASE_MS);
     let again = server.grant_outcome(LEASE_MS, 0, 9, Some(previous(8, false)));
-    assert_eq!(again.fetch.len(), 1, "granted again after a lapse");
-    server.handed_over(LEASE_MS, 9, Some(whole));
+    assert_eq!(
+        again.fetch.len(),
+        1,
+        "granted again after the lease expired"
+    );
+    server.complete_handover(LEASE_MS, 9, Some(complete));
     assert_eq!(server.run(LEASE_MS, &resend("a", 9)), Ok(true));
 }
 
@@ -170,7 +178,7 @@
     assert_eq!(
         server.run(102, &resend("b", 7)),
         Ok(true),
-        "whole within the retention"
+        "record complete within the retention"
     );
 }
 
@@ -212,26 +220,26 @@
         RequestState::Unknown
     );
 
-    // Back after its lease: first with a request that has not noticed yet.
+    // The lost owner returns after the end of its lease, with a request still in flight.
     let early = lost.holder.handover(ms(3000), &key(0), Epoch(5));
     assert!(!early.complete);
-    next.handed_over(2, 9, Some(early));
+    next.complete_handover(2, 9, Some(early));
     assert_eq!(
         next.outcome(2, "ran"),
         RequestState::Ran,
-        "what is known counts"
+        "entries of an incomplete record are merged"
     );
     assert_eq!(next.outcome(2, "before"), RequestState::Unknown);
     assert!(lost.complete(3001, frozen).is_err());
 
-    let whole = lost.holder.handover(ms(3002), &key(0), Epoch(5));
-    assert!(whole.complete);
-    next.handed_over(3, 9, Some(whole));
+    let record = lost.holder.handover(ms(3002), &key(0), Epoch(5));
+    assert!(record.complete);
+    next.complete_handover(3, 9, Some(record));
     assert!(!next.holder.wants_record(ms(3), &held(0, 9)));
     assert_eq!(
         next.outcome(3, "before"),
         RequestState::NotRun,
-        "proven by now"
+        "proven by the complete record"
     );
     assert_eq!(next.run(3, &resend("ran", 9)), Ok(false));
     assert_eq!(next.run(3, &resend("frozen", 9)), Ok(true));
@@ -248,17 +256,17 @@
 fn records_become_whole_along_a_chain_of_owners() {
     let mut first = Server::serving(Guards::all());
     assert_eq!(first.run(1, &request("ran", 5)), Ok(true));
-    // Lost, so that the second owner's record isn't whole when it releases the shard again.
+    // The first owner is lost, so the second owner's record is incomplete when it releases the shard.
     let mut second = Server::leased(Guards::all());
     second.grant(0, 0, 6, Some(previous(5, false)));
     assert_eq!(second.run(1, &request("ran-second", 6)), Ok(true));
     second.release(2, 0, 6);
     let early = second.holder.handover(ms(3), &key(0), Epoch(6));
     assert!(!early.complete);
-    // The first owner is back and gets the shard again.
+    // The first owner returns and is granted the shard again.
     first.renew_at(3000);
     first.grant(3000, 0, 7, Some(previous(6, true)));
-    first.handed_over(3001, 7, Some(early));
+    first.complete_handover(3001, 7, Some(early));
     assert_eq!(
         first.run(3002, &resend("new", 7)),
         Err(Refusal::RecordIncomplete)
@@ -266,15 +274,15 @@
 
     assert!(
         !first.holder.handover(ms(3003), &key(0), Epoch(6)).complete,
-        "never held"
+        "epoch never held here"
     );
     let early = first.holder.handover(ms(3003), &key(0), Epoch(5));
-    assert!(early.complete, "an epoch held before");
+    assert!(early.complete, "epoch held earlier");
     assert!(second.holder.wants_record(ms(4), &held(0, 6)));
-    second.handed_over(4, 6, Some(early));
-    let whole = second.holder.handover(ms(5), &key(0), Epoch(6));
-    assert!(whole.complete);
-    first.handed_over(3004, 7, Some(whole));
+    second.complete_handover(4, 6, Some(early));
+    let record = second.holder.handover(ms(5), &key(0), Epoch(6));
+    assert!(record.complete);
+    first.complete_handover(3004, 7, Some(record));
     assert_eq!(first.run(3005, &resend("ran-second", 7)), Ok(false));
     assert_eq!(first.run(3005, &resend("new", 7)), Ok(true));
 }
@@ -305,7 +313,7 @@
         assert_eq!(server.run(2, &other(&format!("o{number}"))), Ok(true));
         assert_eq!(server.run(2, &request(&format!("r{number}"), 5)), Ok(true));
     }
-    // 12 ran where 10 are kept: each of the two shards lost its oldest when it grew beyond.
+    // 12 requests ran and 10 are kept: each shard evicted its oldest one when it exceeded the bound.
     for (name, state) in [
         ("r0", RequestState::Unknown),
         ("r1", RequestState::Ran),
--- a/crates/holder/tests/requests.rs
+++ b/crates/holder/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: headers, refusals, the check before an effect, cancellation, leaving.
+//! Requests: headers, refusals, the check before an effect, cancellation, draining.
 
 mod common;
 
@@ -13,17 +13,17 @@
     let table: [(&str, Prepare, u64, Request, Refusal); 8] = [
         ("other epoch", |_| {}, 1, request("a", 6), Refusal::WrongEpoch),
         ("unknown shard", |_| {}, 1, Request { shard: ShardId(9), ..request("a", 5) }, Refusal::WrongEpoch),
-        ("lease over", |_| {}, LEASE_MS, request("a", 5), Refusal::NoLease),
-        ("lapsed, leased again", |server| server.renew_at(1500), 1501, request("a", 5), Refusal::WrongEpoch),
+        ("lease expired", |_| {}, LEASE_MS, request("a", 5), Refusal::NoLease),
+        ("lease expired, renewed", |server| server.renew_at(1500), 1501, request("a", 5), Refusal::WrongEpoch),
         ("released", |server| { server.release(0, 0, 5); }, 1, request("a", 5), Refusal::WrongEpoch),
-        ("no time", |_| {}, 1, Request { deadline_left: ms(0), ..request("a", 5) }, Refusal::Deadline),
+        ("no time to the deadline", |_| {}, 1, Request { deadline_left: ms(0), ..request("a", 5) }, Refusal::Deadline),
         ("cancelled", |server| { server.cancel(0, "a", 5, Some(1)); }, 1, request("a", 5), Refusal::Cancelled),
         ("cancelled, resend", |server| { server.cancel(0, "a", 5, Some(1)); }, 1, resend("a", 5), Refusal::Cancelled),
     ];
-    for (name, prepare, at, asked, refusal) in table {
+    for (name, prepare, at, attempted, refusal) in table {
         let mut server = Server::serving(Guards::all());
         prepare(&mut server);
-        assert_eq!(server.run(at, &asked), Err(refusal), "{name}");
+        assert_eq!(server.run(at, &attempted), Err(refusal), "{name}");
     }
 }
 
@@ -32,10 +32,10 @@
     type Between = fn(&mut Server);
     #[rustfmt::skip]
     let table: [(&str, Between, u64, Refusal); 6] = [
-        ("frozen over the lease", |_| {}, 3000, Refusal::NoLease),
-        ("frozen until just before its end", |_| {}, 990, Refusal::NoLease),
-        ("lapsed, leased again", |server| server.renew_at(1500), 1501, Refusal::WrongEpoch),
-        ("lapsed, granted again", |server| { server.renew_at(1500); server.grant(1500, 0, 5, None); }, 1501, Refusal::NoLease),
+        ("paused beyond the lease", |_| {}, 3000, Refusal::NoLease),
+        ("paused until shortly before its end", |_| {}, 990, Refusal::NoLease),
+        ("lease expired, renewed", |server| server.renew_at(1500), 1501, Refusal::WrongEpoch),
+        ("lease expired, granted again", |server| { server.renew_at(1500); server.grant(1500, 0, 5, None); }, 1501, Refusal::NoLease),
         ("new epoch", |server| assert_eq!(server.grant(2, 0, 6, None), None), 3, Refusal::WrongEpoch),
         ("cancelled", |server| { server.cancel(2, "a", 5, None); }, 3, Refusal::Cancelled),
     ];
@@ -89,7 +89,7 @@
     let table: [Row; 11] = [
         ("unseen", |_| {}, 2, 5, None, RequestState::NotRun),
         ("ran", ran, 2, 5, Some(1), RequestState::Ran),
-        ("ran, asked at another epoch", ran, 2, 4, Some(1), RequestState::Ran),
+        ("ran, cancelled at another epoch", ran, 2, 4, Some(1), RequestState::Ran),
         ("begun", |server| drop(server.begin(1, &request("a", 5))), 2, 5, Some(1), RequestState::NotRun),
         ("twice", |server| { server.cancel(1, "a", 5, Some(1)); }, 2, 5, None, RequestState::NotRun),
         ("another epoch", |_| {}, 2, 6, Some(1), RequestState::Unknown),
@@ -142,19 +142,19 @@
 }
 
 #[test]
-fn a_leaving_server_stops_new_work_after_its_grace() {
+fn a_draining_server_refuses_new_requests_after_its_grace() {
     let mut server = Server::serving(Guards::all());
     assert_eq!(server.run(1, &request("a", 5)), Ok(true));
     server.holder.drain(ms(10), true);
     server.renew_at(900);
     server.renew_at(1400);
-    assert!(server.beat(1400, true).draining);
+    assert!(server.leader_heartbeat(1400, true).draining);
     assert_eq!(server.run(1509, &request("b", 5)), Ok(true));
     assert_eq!(server.run(1510, &request("c", 5)), Err(Refusal::Draining));
     assert_eq!(
         server.run(1510, &resend("a", 5)),
         Ok(false),
-        "ran earlier is still told"
+        "an earlier run is still reported"
     );
     server.holder.drain(ms(1520), false);
     assert_eq!(server.run(1521, &request("c", 5)), Ok(true));
@@ -162,34 +162,34 @@
 
 #[test]
 fn removed_guards_let_requests_through() {
-    let mut frozen = Server::serving(Guards::without(Guard::EpochCheck));
-    let permit = frozen.begin(1, &request("a", 5)).unwrap();
+    let mut without_epoch_check = Server::serving(Guards::without(Guard::EpochCheck));
+    let permit = without_epoch_check.begin(1, &request("a", 5)).unwrap();
     assert_eq!(
-        frozen.complete(9000, permit),
+        without_epoch_check.complete(9000, permit),
         Ok(()),
-        "effect after the lease"
+        "effect after the end of the lease"
     );
     assert_eq!(
-        frozen.run(9000, &request("b", 4)),
+        without_epoch_check.run(9000, &request("b", 4)),
         Ok(true),
         "another epoch"
     );
 
-    let mut forgetful = Server::serving(Guards::without(Guard::Tombstone));
+    let mut without_tombstone = Server::serving(Guards::without(Guard::Tombstone));
     assert_eq!(
-        forgetful.cancel(1, "a", 5, Some(1)).state,
+        without_tombstone.cancel(1, "a", 5, Some(1)).state,
         RequestState::NotRun
     );
     assert_eq!(
-        forgetful.run(2, &request("a", 5)),
+        without_tombstone.run(2, &request("a", 5)),
         Ok(true),
         "runs after its cancellation"
     );
 
-    let mut trusting = Server::leased(Guards::without(Guard::ResendRule));
-    trusting.grant(0, 0, 7, Some(previous(6, false)));
+    let mut without_resend_rule = Server::leased(Guards::without(Guard::ResendRule));
+    without_resend_rule.grant(0, 0, 7, Some(previous(6, false)));
     assert_eq!(
-        trusting.run(1, &resend("a", 7)),
+        without_resend_rule.run(1, &resend("a", 7)),
         Ok(true),
         "resend without a record"
     );
--- a/crates/holder/tests/schedules.rs
+++ b/crates/holder/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Any order of messages: what is held agrees with itself, effects stay within the lease and happen
-//! once.
+//! Random schedules of messages to one server: the held shards agree with count and checksum, and
+//! effects occur only within the lease and once.
 
 mod common;
 
@@ -57,7 +57,7 @@
     ]
 }
 
-/// A server with what its surroundings have seen of it.
+/// A server under test, with the answers and effects seen so far.
 struct Run {
     server: Server,
     now: u64,
@@ -106,11 +106,11 @@
                 epoch,
                 attempt,
             } => {
-                let asked = Request {
+                let attempted = Request {
                     attempt: *attempt,
                     ..request(&format!("r{name}"), *epoch)
                 };
-                let begun = self.server.holder.begin(ms(self.now), &asked);
+                let begun = self.server.holder.begin(ms(self.now), &attempted);
                 if let Ok(grebepin_holder::Begun::Run(permit)) = begun {
                     self.permits.push((*name, permit));
                 }
@@ -126,7 +126,10 @@
                     .server
                     .cancel(self.now, &format!("r{name}"), *epoch, *attempt);
                 if answer.state == RequestState::NotRun {
-                    assert!(!self.effects.contains_key(name), "not-run after an effect");
+                    assert!(
+                        !self.effects.contains_key(name),
+                        "answered as not run after an effect"
+                    );
                     self.not_run.push(*name);
                 }
             }
@@ -153,10 +156,16 @@
     fn complete(&mut self, place: usize) {
         let (name, permit) = self.permits.remove(place);
         if self.server.complete(self.now, permit).is_ok() {
-            assert!(self.now < self.lease_bound, "effect after the lease");
-            assert!(!self.not_run.contains(&name), "effect after not-run");
+            assert!(
+                self.now < self.lease_bound,
+                "effect after the end of the lease"
+            );
+            assert!(
+                !self.not_run.contains(&name),
+                "effect of a request answered as not run"
+            );
             *self.effects.entry(name).or_default() += 1;
-            assert_eq!(self.effects[&name], 1, "effect twice");
+            assert_eq!(self.effects[&name], 1, "second effect of a request");
         }
     }
 
@@ -179,7 +188,7 @@
     #![proptest_config(ProptestConfig { cases: 3000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_schedule_keeps_the_rules(steps in proptest::collection::vec((step(), 0u64..200), 1..80)) {
+    fn invariants_hold_for_any_schedule(steps in proptest::collection::vec((step(), 0u64..200), 1..80)) {
         let mut run = Run::new();
         run.step(&Step::Heartbeat { renewal_age: 0 });
         run.step(&Step::Heartbeat { renewal_age: 0 });
