--- a/crates/ownership/examples/coordinator_bench.rs
+++ b/crates/ownership/examples/coordinator_bench.rs
@@ -1,7 +1,8 @@
-//! Processor time, bytes and messages of one coordinator against hollow servers on a virtual clock.
+//! Measures CPU time, bytes and messages of one coordinator with fake servers on a virtual clock.
 //!
 //! `cargo run --release -p grebepin-ownership --example coordinator_bench -- SERVERS SHARDS` prints one
-//! row of the table in `docs/design/leases.md`. One process measures one size, so that memory is its own.
+//! row of the table in `docs/design/leases.md`. Each process measures one size, so that its resident memory
+//! belongs to that size alone.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::num::NonZeroU32;
@@ -20,24 +21,24 @@
     SideShare, SignedBundle, Term,
 };
 
-/// Step of the virtual clock; an answer comes one step after its request.
+/// Step of the virtual clock; an answer arrives one step after its request.
 const STEP: Duration = Duration::from_millis(10);
-/// Heartbeats over which the steady state is measured, at least; the kernel's count of processor time is
-/// coarse, so that short phases tell little.
+/// Fewest heartbeats over which the steady state is measured. The kernel counts CPU time coarsely, so
+/// short phases give inaccurate results.
 const STEADY_HEARTBEATS: u32 = 750_000;
-/// Longest virtual time to wait for a phase to end.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Longest virtual time of a phase.
+const PHASE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A server that answers at once and keeps nothing but its shards.
+/// A server that answers immediately and stores only its shards.
 #[derive(Default)]
-struct HollowServer {
+struct FakeServer {
     up: bool,
     nonce: u64,
     held: BTreeMap<ShardId, Epoch>,
     checksum: u64,
 }
 
-impl HollowServer {
+impl FakeServer {
     fn heartbeat(&mut self, renewed: bool) -> HeartbeatAnswer {
         self.nonce += 1;
         HeartbeatAnswer {
@@ -63,7 +64,7 @@
             })
             .collect();
         for held in &accepted {
-            self.let_go(&held.service, held.shard);
+            self.remove_shard(&held.service, held.shard);
             self.held.insert(held.shard, held.epoch);
             let hash = shard_hash(&held.service, held.shard, held.epoch);
             self.checksum = self.checksum.wrapping_add(hash);
@@ -78,7 +79,7 @@
 
     fn release(&mut self, request: ReleaseRequest) -> ReleaseAnswer {
         for held in &request.shards {
-            self.let_go(&held.service, held.shard);
+            self.remove_shard(&held.service, held.shard);
         }
         ReleaseAnswer {
             released: request.shards,
@@ -86,7 +87,7 @@
         }
     }
 
-    fn let_go(&mut self, service: &ServiceName, shard: ShardId) {
+    fn remove_shard(&mut self, service: &ServiceName, shard: ShardId) {
         if let Some(epoch) = self.held.remove(&shard) {
             let hash = shard_hash(service, shard, epoch);
             self.checksum = self.checksum.wrapping_sub(hash);
@@ -94,7 +95,7 @@
     }
 }
 
-/// What one phase cost.
+/// Cost of one phase.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
     virtual_time: Duration,
@@ -111,7 +112,7 @@
     now: Duration,
     state: OwnershipState,
     coordinator: Coordinator,
-    servers: BTreeMap<ServerName, HollowServer>,
+    servers: BTreeMap<ServerName, FakeServer>,
     inputs: VecDeque<CoordinatorInput<'static>>,
     commands: VecDeque<Command>,
     index: u64,
@@ -128,10 +129,10 @@
             leader_lease: Duration::from_millis(300),
             guards: Guards::all(),
         };
-        let hollow = |number| {
-            let server = HollowServer {
+        let fake = |number| {
+            let server = FakeServer {
                 up: true,
-                ..HollowServer::default()
+                ..FakeServer::default()
             };
             (server_name(number), server)
         };
@@ -139,7 +140,7 @@
             now: STEP,
             state: OwnershipState::new(GroupId(0)),
             coordinator: Coordinator::new(config, Term(1), STEP),
-            servers: (0..servers).map(hollow).collect(),
+            servers: (0..servers).map(fake).collect(),
             inputs: VecDeque::new(),
             commands: VecDeque::new(),
             index: 0,
@@ -147,11 +148,11 @@
         }
     }
 
-    /// Runs until `done` holds, and gives what it cost.
-    fn measure(&mut self, patience: Duration, done: impl Fn(&Fleet, Duration) -> bool) -> Cost {
+    /// Runs until `done` holds or the timeout ends, and returns the cost.
+    fn measure(&mut self, timeout: Duration, done: impl Fn(&Fleet, Duration) -> bool) -> Cost {
         self.cost = Cost::default();
         let start = self.now;
-        while !done(self, self.now - start) && self.now - start < patience {
+        while !done(self, self.now - start) && self.now - start < timeout {
             self.step();
         }
         self.cost.virtual_time = self.now - start;
@@ -162,9 +163,9 @@
         self.now += STEP;
         let commands = std::mem::take(&mut self.commands);
         let inputs = std::mem::take(&mut self.inputs);
-        let start = processor_time();
+        let start = cpu_time();
         let applied: Vec<Applied> = commands.iter().map(|command| self.apply(command)).collect();
-        let after_apply = processor_time();
+        let after_apply = cpu_time();
         let mut outputs = Vec::new();
         let lease_until = self.now + Duration::from_millis(300);
         for applied in &applied {
@@ -181,7 +182,7 @@
             );
         }
         self.cost.apply += after_apply - start;
-        self.cost.coordinator += processor_time() - after_apply;
+        self.cost.coordinator += cpu_time() - after_apply;
         for output in outputs {
             self.carry_out(output);
         }
@@ -208,8 +209,8 @@
             CoordinatorOutput::Grant {
                 server, request, ..
             } => {
-                let hollow = self.servers.get_mut(&server).expect("known");
-                let answer = hollow.grant(&request);
+                let fake = self.servers.get_mut(&server).expect("known");
+                let answer = fake.grant(&request);
                 self.count(&request, &answer);
                 let input = CoordinatorInput::GrantAnswered { server, answer };
                 self.inputs.push_back(input);
@@ -217,8 +218,8 @@
             CoordinatorOutput::Release {
                 server, request, ..
             } => {
-                let hollow = self.servers.get_mut(&server).expect("known");
-                let answer = hollow.release(request.clone());
+                let fake = self.servers.get_mut(&server).expect("known");
+                let answer = fake.release(request.clone());
                 self.count(&request, &answer);
                 let input = CoordinatorInput::ReleaseAnswered { server, answer };
                 self.inputs.push_back(input);
@@ -235,12 +236,12 @@
     }
 
     fn heartbeat(&mut self, server: ServerName, request: &HeartbeatRequest) {
-        let hollow = self.servers.get_mut(&server).expect("known");
-        if !hollow.up {
+        let fake = self.servers.get_mut(&server).expect("known");
+        if !fake.up {
             let input = CoordinatorInput::HeartbeatFailed { server };
             return self.inputs.push_back(input);
         }
-        let answer = hollow.heartbeat(request.lease.is_some());
+        let answer = fake.heartbeat(request.lease.is_some());
         self.count(request, &answer);
         self.inputs.push_back(CoordinatorInput::HeartbeatAnswered {
             server,
@@ -249,7 +250,7 @@
         });
     }
 
-    /// Counts a request and its answer; bytes of JSON bodies, without HTTP headers.
+    /// Counts a request and its answer. Bytes are those of the JSON bodies, without HTTP headers.
     fn count(&mut self, request: &impl serde::Serialize, answer: &impl serde::Serialize) {
         let size = |value: Result<Vec<u8>, serde_json::Error>| value.expect("encodes").len() as u64;
         self.cost.messages += 1;
@@ -314,15 +315,15 @@
     }
 }
 
-/// Time that this thread ran on a processor.
-fn processor_time() -> Duration {
+/// CPU time of this thread.
+fn cpu_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let first = text.split_whitespace().next();
     Duration::from_nanos(first.and_then(|first| first.parse().ok()).unwrap_or(0))
 }
 
 /// Resident memory of this process in bytes.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
@@ -354,25 +355,25 @@
             signatures: Vec::new(),
         },
     });
-    let memory_before = resident();
+    let memory_before = resident_bytes();
     fleet.apply(&first);
-    let settle = fleet.measure(PATIENCE, |fleet, _| fleet.is_settled());
-    let hollow_bytes = u64::from(shards) * 40; // About what the hollow servers' maps take.
-    let memory = resident().saturating_sub(memory_before + hollow_bytes);
+    let settle = fleet.measure(PHASE_TIMEOUT, |fleet, _| fleet.is_settled());
+    let fake_bytes = u64::from(shards) * 40; // Approximate size of the fake servers' maps.
+    let memory = resident_bytes().saturating_sub(memory_before + fake_bytes);
     let steady_for = Duration::from_millis(200) * (STEADY_HEARTBEATS / servers);
-    let patience = PATIENCE.max(steady_for);
-    let steady = fleet.measure(patience, |_, elapsed| elapsed >= steady_for);
+    let timeout = PHASE_TIMEOUT.max(steady_for);
+    let steady = fleet.measure(timeout, |_, elapsed| elapsed >= steady_for);
     let index = fleet.state.table_index();
     let lost = server_name(0);
-    let orphans = fleet.servers.insert(lost, HollowServer::default());
-    let loss = fleet.measure(PATIENCE, |fleet, _| fleet.is_settled());
+    let orphans = fleet.servers.insert(lost, FakeServer::default());
+    let loss = fleet.measure(PHASE_TIMEOUT, |fleet, _| fleet.is_settled());
     let delta = fleet.state.delta_since(index).expect("kept");
-    let start = processor_time();
+    let start = cpu_time();
     let snapshot = fleet.state.snapshot();
-    let snapshot_time = processor_time() - start;
-    let start = processor_time();
+    let snapshot_time = cpu_time() - start;
+    let start = cpu_time();
     let table = encode(&fleet.state.table()).expect("encodes").len();
-    let table_time = processor_time() - start;
+    let table_time = cpu_time() - start;
     let seconds = steady.virtual_time.as_secs_f64();
     println!(
         "| {servers} | {shards} | {:.2} | {:.0} | {:.1} | {:.0} | {:.0} | {:.0} | {:.1} | {} | {:.1} | {:.1} | {:.2} | {:.1} | {:.0} | {:.1} | {:.0} |",
--- a/crates/ownership/src/applied.rs
+++ b/crates/ownership/src/applied.rs
@@ -1,58 +1,58 @@
-//! What became of a command: the answers of the replicated state machine.
+//! Outcomes of commands that the replicated state machine has applied.
 
 use grebepin_schema::{
     BundleRecord, DeploymentName, Epoch, LogIndex, ServerName, ServerStanding, ServiceName, ShardId,
 };
 
-/// What one applied command did.
+/// An applied command's log index and outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
     /// Log index of the command.
     pub index: LogIndex,
-    /// What became of it.
+    /// Outcome, by the kind of the command.
     pub outcome: Outcome,
 }
 
-/// Outcome of a command, by its kind.
+/// Outcome of a command; each kind of command has its own variant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// Of `accept_bundle`.
+    /// Outcome of `accept_bundle`.
     Bundle(BundleOutcome),
-    /// Of `assign`.
+    /// Outcome of `assign`.
     Assigned(Assigned),
-    /// Of `set_standing`.
+    /// Outcome of `set_standing`.
     Standing(StandingOutcome),
-    /// Of `register_boot`.
+    /// Outcome of `register_boot`.
     Boot(BootOutcome),
 }
 
 /// Outcome of submitting a bundle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BundleOutcome {
-    /// Accepted by this command, or by an earlier one of which this is a resend.
+    /// Accepted by this command, or by an earlier one that this command resends.
     Accepted {
         /// Version, digest and the log index of the first acceptance.
         record: BundleRecord,
-        /// Whether an earlier command accepted it.
+        /// Whether the bundle was accepted by an earlier command.
         repeated: bool,
     },
-    /// Refused; nothing changed.
+    /// Refused; the state is unchanged.
     Refused(BundleRefusal),
 }
 
 /// Why a bundle was refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum BundleRefusal {
-    /// Another bundle with this number was accepted.
+    /// Another bundle with this version was accepted.
     #[error("version {} was accepted with digest {}", accepted.version, accepted.digest.as_str())]
     VersionConflict {
-        /// The accepted bundle of that number.
+        /// The accepted bundle with that version.
         accepted: BundleRecord,
     },
-    /// The number is below that of the bundle in force.
+    /// The version is below that of the bundle in force.
     #[error("version {version} is older than version {} in force", accepted.version)]
     OlderVersion {
-        /// Version refused.
+        /// Version of the refused bundle.
         version: u64,
         /// The bundle in force.
         accepted: BundleRecord,
@@ -60,7 +60,7 @@
     /// The parent is not the bundle in force.
     #[error("the bundle does not follow the one in force")]
     ParentMismatch {
-        /// The bundle in force, if any.
+        /// The bundle in force; `None` before the first.
         accepted: Option<BundleRecord>,
     },
     /// The bundle belongs to another deployment.
@@ -69,20 +69,21 @@
         /// Deployment in force.
         accepted: DeploymentName,
     },
-    /// The count of shards of a live service differs.
+    /// The bundle changes the number of shards of an existing service.
     #[error("service {} has {shards} shards", service.as_str())]
     ShardCountChanged {
         /// The service.
         service: ServiceName,
-        /// Its count of shards in force.
+        /// Its number of shards in force.
         shards: u32,
     },
-    /// A server still owns shards of another service.
+    /// A server that the bundle lists for this service still owns shards of another service, or is the
+    /// previous owner of one.
     #[error("server {} owns shards of service {}", server.as_str(), service.as_str())]
     ServerOfOtherService {
         /// The server.
         server: ServerName,
-        /// The service whose shards it owns.
+        /// The service to whose shards it belongs.
         service: ServiceName,
     },
     /// A service is listed twice.
@@ -99,79 +100,79 @@
     },
 }
 
-/// Outcome of a batch of assignments; each stands or falls by itself.
+/// Outcome of a batch of assignments; each one is accepted or refused independently.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Assigned {
-    /// In force, in the order of the command.
+    /// Accepted assignments, in the order of the command.
     pub accepted: Vec<AppliedAssignment>,
-    /// Without effect.
+    /// Refused assignments, which have no effect.
     pub refused: Vec<RefusedAssignment>,
 }
 
-/// An assignment in force.
+/// An accepted assignment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedAssignment {
     /// Service of the shard.
     pub service: ServiceName,
     /// The shard.
     pub shard: ShardId,
-    /// Epoch of the new ownership: the index of its entry.
+    /// Epoch of the new ownership, which is the log index of the command.
     pub epoch: Epoch,
-    /// New owner, if any.
+    /// New owner; `None` if the shard is left without one.
     pub server: Option<ServerName>,
-    /// Owner until now, if any.
+    /// Owner before the assignment, if any.
     pub previous: Option<ServerName>,
 }
 
-/// An assignment without effect.
+/// A refused assignment, which has no effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RefusedAssignment {
     /// Service of the shard.
     pub service: ServiceName,
     /// The shard.
     pub shard: ShardId,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: AssignmentRefusal,
 }
 
-/// Why an assignment had no effect.
+/// Reason why an assignment was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AssignmentRefusal {
-    /// No such service.
+    /// The service does not exist.
     #[error("no such service")]
     UnknownService,
-    /// The service has fewer shards.
+    /// The service has no shard with this number.
     #[error("no such shard")]
     UnknownShard,
-    /// The shard changed since the command was made.
+    /// The shard's epoch is not the one that the command expects.
     #[error("the shard is at epoch {current}")]
     EpochMismatch {
-        /// Epoch of the shard.
+        /// Current epoch of the shard.
         current: Epoch,
     },
-    /// No such server of this service.
+    /// The service has no server with this name.
     #[error("no such server of this service")]
     UnknownServer,
-    /// The server may receive nothing.
+    /// The server's standing does not allow it to receive shards.
     #[error("the server may receive no shards")]
     ServerNotActive,
 }
 
-/// Outcome of a change of standing.
+/// Outcome of a command that sets a server's standing.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StandingOutcome {
-    /// In force.
+    /// The standing was set.
     Set {
         /// The server.
         server: ServerName,
-        /// Its standing.
+        /// Its new standing.
         standing: ServerStanding,
-        /// Shards it owns.
+        /// Number of shards that it owns.
         shards: u32,
     },
-    /// No such server.
+    /// No server has this name.
     UnknownServer {
-        /// Name given.
+        /// Name in the command.
         server: ServerName,
     },
 }
@@ -179,19 +180,19 @@
 /// Outcome of the registration of a server's start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BootOutcome {
-    /// In force; each shard of the server has this entry's index as its epoch.
+    /// The start was registered; each shard of the server now has the command's log index as its epoch.
     Registered {
         /// The server.
         server: ServerName,
     },
-    /// The recorded boot is not the expected one.
+    /// The registered boot number is not the one that the command expects.
     Mismatch {
         /// The server.
         server: ServerName,
     },
-    /// No such server.
+    /// No server has this name.
     UnknownServer {
-        /// Name given.
+        /// Name in the command.
         server: ServerName,
     },
 }
--- a/crates/ownership/src/coordinator/applied.rs
+++ b/crates/ownership/src/coordinator/applied.rs
@@ -1,4 +1,4 @@
-//! What applied commands mean for grants, moves and proposals under way.
+//! Effects of applied commands on grants, moves and pending proposals.
 
 use grebepin_schema::{Command, ServerName, ServiceName, ShardId};
 
@@ -46,18 +46,18 @@
         self.moves.remove(&assignment.service, shard);
         let last = assignment.previous.as_ref();
         if let Some((_, link)) = last.and_then(|name| self.link_mut(step, name)) {
-            link.forget_shard(shard);
+            link.remove_shard(shard);
             link.changed_at = step.now;
         }
         let next = assignment.server.as_ref();
         if let Some((server, link)) = next.and_then(|name| self.link_mut(step, name)) {
             link.to_grant.insert(shard);
             link.changed_at = step.now;
-            self.to_flush.insert(server);
+            self.grants_due.insert(server);
         }
     }
 
-    /// Every shard of the server has a fresh epoch.
+    /// Every shard of the server has a new epoch and has to be granted again.
     fn applied_boot(&mut self, step: &mut Step<'_>, name: &ServerName) {
         let Some((server, link)) = self.link_mut(step, name) else {
             return;
@@ -67,7 +67,7 @@
         link.unconfirmed.clear();
         link.to_grant = step.state.servers().get(server).owned.clone();
         link.changed_at = step.now;
-        self.to_flush.insert(server);
+        self.grants_due.insert(server);
         self.drop_outdated_moves(step);
     }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// A proposed assignment had no effect: a released shard needs another new owner.
+    /// A proposed assignment had no effect, so a released shard needs another assignment.
     fn assignment_ended(&mut self, service: &ServiceName, shard: ShardId) {
         self.pending.remove(service, shard);
         if let Some(planned) = self.moves.get_mut(service, shard) {
--- a/crates/ownership/src/coordinator/balance.rs
+++ b/crates/ownership/src/coordinator/balance.rs
@@ -1,6 +1,6 @@
-//! Planned moves within one service, for the sides' shares, reachability and load.
+//! Planned moves within one service, according to the sides' shares, reachability and load.
 //!
-//! Invariant: moves start only within the service's limits on churn.
+//! Invariant: moves start only within the service's churn limits.
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 use super::Coordinator;
 use crate::state::{ServerIndex, ServiceState};
 
-/// Moves that one look starts at most.
-const MOVES_PER_LOOK: u32 = 256;
+/// Most moves started in one pass of supervision.
+const MOVES_PER_SUPERVISION: u32 = 256;
 
-/// Least time between two plans of a service, in heartbeats.
+/// Least time between two plans of a service, in heartbeat intervals.
 const HEARTBEATS_BETWEEN_PLANS: u32 = 1;
 
-/// Time until the next plan of a service for which a plan found nothing to move, in heartbeats.
+/// Time until the next plan of a service after a plan without moves, in heartbeat intervals.
 const HEARTBEATS_AFTER_EMPTY_PLAN: u32 = 10;
 
-/// Distance of a server's count from its share, in shards, that calls for no plan.
+/// Difference between a server's count and its share, in shards, up to which no plan is made.
 const COUNT_SLACK: f64 = 1.0;
 
 /// Planned moves of one service.
@@ -32,9 +32,9 @@
 pub(super) struct Balance {
     budget: ChurnBudget,
     next_plan: Duration,
-    /// Until then counted load still tells of owners before the last moves.
+    /// Until this time the counted load includes requests sent to the owners before the last moves.
     load_stale_until: Duration,
-    /// Load of each shard as last counted while that was not stale; `None` until it was counted in full.
+    /// Last load of each shard that was not stale; `None` until two full windows were counted.
     loads: Option<Vec<f64>>,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Coordinator {
-    /// Starts moves if counts or loads call for them and the limits allow.
+    /// Starts moves if counts or loads are unbalanced and the churn limits allow it.
     pub(super) fn start_balance(
         &mut self,
         step: &Step<'_>,
@@ -86,7 +86,7 @@
         };
         let loads = self.last_loads(step, name, service);
         let planned = self.plan_moves(step, name, service, &view, &loads, &policy);
-        self.remember_loads(step.now, name, loads);
+        self.store_loads(step.now, name, loads);
         let started = planned.len() as u32;
         for (shard, planned) in planned {
             self.start_move(name, shard, planned);
@@ -101,17 +101,17 @@
             if started > 0 {
                 balance.load_stale_until = step.now + LOAD_STALE_FOR;
             }
-            self.next_look = self.next_look.min(balance.next_plan);
+            self.next_supervision = self.next_supervision.min(balance.next_plan);
         }
     }
 
-    /// Moves that may start now.
+    /// Number of moves that may start now.
     fn balance_limit(&mut self, now: Duration, name: &ServiceName, service: &ServiceState) -> u32 {
         let policy = &service.service.churn;
         let balanced = |planned: &&Move| planned.reason == Reason::Balance;
-        let under_way = self.moves.of(name).filter(|(_, planned)| balanced(planned));
+        let in_progress = self.moves.of(name).filter(|(_, planned)| balanced(planned));
         let concurrent = policy.concurrent_moves.get();
-        let room = concurrent.saturating_sub(under_way.count() as u32);
+        let remaining = concurrent.saturating_sub(in_progress.count() as u32);
         let since = self.leader_since;
         let balance = match self.balances.get_mut(name) {
             Some(balance) => balance,
@@ -124,7 +124,7 @@
             return 0;
         }
         let allowed = balance.budget.available(now, policy.moves_per_minute);
-        room.min(allowed).min(MOVES_PER_LOOK)
+        remaining.min(allowed).min(MOVES_PER_SUPERVISION)
     }
 
     fn load_is_stale(&self, now: Duration, name: &ServiceName) -> bool {
@@ -132,8 +132,8 @@
         balance.is_some_and(|balance| balance.load_is_stale(now))
     }
 
-    /// Load of each shard as counted now, or as remembered while that is stale: a shard takes its load
-    /// along, so that what earlier moves brought to a server counts there at once.
+    /// Load of each shard as counted now, or the stored one while the counted load is stale. The load
+    /// belongs to the shard, so the load of moved shards counts at their new owner at once.
     fn last_loads(
         &mut self,
         step: &Step<'_>,
@@ -146,25 +146,25 @@
         remembered.unwrap_or_else(|| self.load.of_shards(step.state, name, service))
     }
 
-    /// Keeps the loads that a plan went by, unless they were not counted in full.
-    fn remember_loads(&mut self, now: Duration, name: &ServiceName, loads: Vec<f64>) {
-        let is_counted = self.has_counted(now);
+    /// Stores the loads used by a plan, unless fewer than two full windows were counted.
+    fn store_loads(&mut self, now: Duration, name: &ServiceName, loads: Vec<f64>) {
+        let is_counted = self.has_load_counts(now);
         if let Some(balance) = self.balances.get_mut(name) {
             balance.loads = is_counted.then_some(loads);
         }
     }
 
-    /// Whether two windows began and ended since this leadership began.
-    fn has_counted(&self, now: Duration) -> bool {
+    /// Whether two full windows were counted since the start of this leadership.
+    fn has_load_counts(&self, now: Duration) -> bool {
         now >= self.leader_since + LOAD_STALE_FOR
     }
 
-    /// Whether loads tell which servers are hot. Until then servers of one side are left as they are, since
-    /// one with few shards may have given the others away for its load.
+    /// Whether loads show which servers are overloaded. Until then, counts within one side are not
+    /// evened out, since a server may have few shards because others were moved away for its load.
     fn knows_loads(&self, now: Duration, name: &ServiceName) -> bool {
         let balance = self.balances.get(name);
         let remembers = balance.is_some_and(|balance| balance.loads.is_some());
-        self.has_counted(now) && (remembers || !self.load_is_stale(now, name))
+        self.has_load_counts(now) && (remembers || !self.load_is_stale(now, name))
     }
 
     fn plan_moves(
@@ -184,7 +184,7 @@
                 eligible: server.settled || server.unreachable,
             })
             .collect();
-        let owners = self.owners_to_be(step, name, service);
+        let owners = self.projected_owners(step, name, service);
         let sides = sides_of_servers(service);
         let planned = rebalance_sides(&candidates, &sides, &owners, loads, policy).into_iter();
         let free = planned.filter_map(|planned| {
@@ -198,8 +198,8 @@
         free.collect()
     }
 
-    /// Position of each shard's owner once everything under way is done.
-    fn owners_to_be(
+    /// Position of each shard's owner after all moves and assignments in progress.
+    fn projected_owners(
         &self,
         step: &Step<'_>,
         name: &ServiceName,
@@ -209,7 +209,7 @@
         let shards = service.shards.iter();
         let mut owners: Vec<Option<usize>> =
             shards.map(|shard| shard.owner.and_then(position)).collect();
-        for (shard, to) in self.under_way(name) {
+        for (shard, to) in self.in_progress(name) {
             if let Some(owner) = owners.get_mut(shard.0 as usize) {
                 *owner = to.and_then(position);
             }
@@ -228,7 +228,8 @@
         .collect()
 }
 
-/// Weighs the servers that take part in balance, so that a listing of the platform moves nothing.
+/// Sets the weights of the servers that take part in balancing, so that the platform's list of machines
+/// causes no moves.
 fn set_balance_weights(service: &ServiceState, view: &mut ServiceView) {
     let settled: Vec<bool> = view.servers.iter().map(|server| server.settled).collect();
     for (server, weight) in view.servers.iter_mut().zip(weights(service, &settled)) {
@@ -236,19 +237,20 @@
     }
 }
 
-/// Whether each server that may receive or must give has about its share.
+/// Whether the count of each server that takes part in balancing, or is unreachable, is close to its
+/// share.
 fn is_even(view: &ServiceView) -> bool {
-    let taking_part = || {
+    let participants = || {
         view.servers
             .iter()
             .filter(|server| server.settled || server.unreachable)
     };
-    let shards: usize = taking_part().map(|server| server.count).sum();
-    let weights: f64 = taking_part().map(|server| server.weight).sum();
+    let shards: usize = participants().map(|server| server.count).sum();
+    let weights: f64 = participants().map(|server| server.weight).sum();
     if weights <= 0.0 {
         return true;
     }
-    taking_part().all(|server| {
+    participants().all(|server| {
         let share = shards as f64 * server.weight / weights;
         let slack = if share > 0.0 { COUNT_SLACK } else { 0.0 };
         (server.count as f64 - share).abs() <= slack
--- a/crates/ownership/src/coordinator/budget.rs
+++ b/crates/ownership/src/coordinator/budget.rs
@@ -1,15 +1,15 @@
-//! The bound on planned moves in a minute.
+//! Budget of planned moves per minute.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Length of the window that moves are counted over.
+/// Length of the sliding window over which moves are counted.
 const WINDOW: Duration = Duration::from_secs(60);
 
 /// Moves started within the last minute.
 ///
-/// Invariant: over any minute since `since` no more moves start than allowed, and the allowance grows
-/// evenly over the first minute, since an earlier leader's moves are not known.
+/// Invariant: in any minute after `since` at most the allowed number of moves start. During the first
+/// minute the allowance grows linearly, since the moves of an earlier leader are not known.
 #[derive(Debug)]
 pub(super) struct ChurnBudget {
     since: Duration,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Moves that may start now.
+    /// Number of moves that may start now.
     pub fn available(&mut self, now: Duration, moves_per_minute: u32) -> u32 {
         while let Some(&(at, count)) = self.started.front() {
             if at + WINDOW > now {
--- a/crates/ownership/src/coordinator/grants.rs
+++ b/crates/ownership/src/coordinator/grants.rs
@@ -1,4 +1,4 @@
-//! Grants of committed assignments, and the comparison of what a server holds with what it should.
+//! Grants of committed assignments, and the comparison of held shards with committed ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use super::Coordinator;
 use crate::state::{OwnershipState, ServerEntry, ServerIndex};
 
-/// Shards in one grant or release.
+/// Most shards in one grant or release request.
 pub(super) const SHARDS_PER_REQUEST: usize = 2_000;
 
 impl Coordinator {
-    /// Sends grants to the servers that something changed for.
+    /// Sends grants to the servers for which they may be due.
     pub(super) fn send_grants(&mut self, step: &mut Step<'_>) {
         if !step.leads() {
             return;
         }
-        for server in std::mem::take(&mut self.to_flush) {
+        for server in std::mem::take(&mut self.grants_due) {
             self.send_grant(step, server);
         }
     }
@@ -35,21 +35,21 @@
         };
         let entry = step.state.servers().get(server);
         let ready = link.leased && link.boot == entry.boot;
-        if !ready || link.grant_under_way || link.grant_on_hold || link.to_grant.is_empty() {
+        if !ready || link.grant_in_flight || link.grant_on_hold || link.to_grant.is_empty() {
             return;
         }
         let Some(session) = link.session else {
             return;
         };
-        if self.gives_up_unheld(step.now, step.state, server) {
+        if self.withholds_grants(step.now, step.state, server) {
             return self.supervise_soon(step.now);
         }
         let grants = self.grants_for(step.state, link, entry);
         let Some(link) = self.links.get_mut(&server).filter(|_| !grants.is_empty()) else {
             return;
         };
-        link.grant_under_way = true;
-        step.out.push(CoordinatorOutput::Grant {
+        link.grant_in_flight = true;
+        step.outputs.push(CoordinatorOutput::Grant {
             server: link.name.clone(),
             address: link.address.clone(),
             request: GrantRequest {
@@ -61,10 +61,11 @@
         });
     }
 
-    /// Whether a server that leaves is to get back nothing that it lost with a lease, since another
-    /// server can take it, or may turn out to: at first a new leader has heard of nobody.
-    fn gives_up_unheld(&self, now: Duration, state: &OwnershipState, leaving: ServerIndex) -> bool {
-        let entry = state.servers().get(leaving);
+    /// Whether a draining server is not granted again the shards that it lost with its lease, since another
+    /// server can receive them. This also applies until the servers have had time to answer, since a new
+    /// leader doesn't know at first which ones are available.
+    fn withholds_grants(&self, now: Duration, state: &OwnershipState, server: ServerIndex) -> bool {
+        let entry = state.servers().get(server);
         if entry.effective_standing() == ServerStanding::Active {
             return false;
         }
@@ -78,7 +79,7 @@
         others.any(|&other| self.can_receive(now, state, other))
     }
 
-    /// Shards on their way elsewhere are left out.
+    /// Grants that are due; shards that are being moved or reassigned are excluded.
     fn grants_for(
         &self,
         state: &OwnershipState,
@@ -106,9 +107,9 @@
         let Some(link) = self.links.get_mut(&server) else {
             return;
         };
-        link.grant_under_way = false;
+        link.grant_in_flight = false;
         link.changed_at = step.now;
-        self.to_flush.insert(server);
+        self.grants_due.insert(server);
         if link.boot != Some(answer.boot) {
             link.grant_on_hold = true;
             return;
@@ -129,7 +130,7 @@
                         self.moves.insert(&link.service, refusal.shard, released);
                     }
                 }
-                GrantRefusalReason::Draining => link.wishes_to_leave = true,
+                GrantRefusalReason::Draining => link.reports_draining = true,
                 GrantRefusalReason::StaleTerm
                 | GrantRefusalReason::StaleSession
                 | GrantRefusalReason::NoLease => {}
@@ -145,13 +146,14 @@
             return;
         };
         if let Some(link) = self.links.get_mut(&server) {
-            link.grant_under_way = false;
+            link.grant_in_flight = false;
             link.grant_on_hold = true;
             link.changed_at = step.now;
         }
     }
 
-    /// Grants anew, or asks for the list, when a server holds other shards than it should.
+    /// Schedules grants or requests the list of held shards if the held shards differ from the committed
+    /// ones.
     pub(super) fn compare_holdings(
         &mut self,
         step: &mut Step<'_>,
@@ -159,7 +161,7 @@
         answer: &HeartbeatAnswer,
         sent_at: Duration,
     ) {
-        self.to_flush.insert(server);
+        self.grants_due.insert(server);
         let entry = step.state.servers().get(server);
         let Some(link) = self.links.get_mut(&server) else {
             return;
@@ -167,31 +169,31 @@
         let as_committed =
             answer.held as usize == entry.owned.len() && answer.held_checksum == entry.checksum;
         if as_committed {
-            if !link.grant_under_way {
+            if !link.grant_in_flight {
                 link.to_grant.clear();
             }
             return;
         }
-        if link.boot != entry.boot || !link.leased || link.holdings_under_way {
+        if link.boot != entry.boot || !link.leased || link.holdings_in_flight {
             return;
         }
         if answer.held == 0 {
-            let lacking = entry.owned.difference(&link.unheld);
-            link.to_grant.extend(lacking);
+            let missing = entry.owned.difference(&link.unheld);
+            link.to_grant.extend(missing);
             return;
         }
         let in_flux = !link.to_grant.is_empty()
             || !link.unheld.is_empty()
             || !link.releasing.is_empty()
             || !link.unconfirmed.is_empty()
-            || link.grant_under_way
+            || link.grant_in_flight
             || link.changed_at >= sent_at;
         if in_flux && step.now < link.changed_at + self.config.lease {
             return;
         }
-        link.holdings_under_way = true;
+        link.holdings_in_flight = true;
         link.changed_at = step.now;
-        step.out.push(CoordinatorOutput::Holdings {
+        step.outputs.push(CoordinatorOutput::Holdings {
             server: link.name.clone(),
             address: link.address.clone(),
             group: self.config.group,
@@ -210,7 +212,7 @@
         let Some(link) = self.links.get_mut(&server) else {
             return;
         };
-        link.holdings_under_way = false;
+        link.holdings_in_flight = false;
         if link.session != Some(answer.session) {
             return;
         }
@@ -220,11 +222,11 @@
             .filter(|held| held.service == link.service)
             .map(|held| (held.shard, held))
             .collect();
-        let lacking = entry.owned.iter().copied().filter(|shard| {
+        let missing = entry.owned.iter().copied().filter(|shard| {
             let epoch = held.get(shard).map(|held| held.epoch);
             epoch != owned_epoch(step.state, entry, *shard) && !link.unheld.contains(shard)
         });
-        link.to_grant = lacking.collect();
+        link.to_grant = missing.collect();
         let surplus: Vec<HeldShard> = answer
             .shards
             .iter()
@@ -232,23 +234,23 @@
             .take(SHARDS_PER_REQUEST)
             .cloned()
             .collect();
-        let may_ask = step.leads() && !link.release_under_way;
+        let may_ask = step.leads() && !link.release_in_flight;
         if !surplus.is_empty() && may_ask {
-            link.release_under_way = true;
+            link.release_in_flight = true;
             let (name, address) = (link.name.clone(), link.address.clone());
-            self.ask_release(step, name, address, surplus);
+            self.send_release(step, name, address, surplus);
         }
-        self.to_flush.insert(server);
+        self.grants_due.insert(server);
     }
 
-    pub(super) fn ask_release(
+    pub(super) fn send_release(
         &mut self,
         step: &mut Step<'_>,
         server: ServerName,
         address: grebepin_schema::SocketAddress,
         shards: Vec<HeldShard>,
     ) {
-        step.out.push(CoordinatorOutput::Release {
+        step.outputs.push(CoordinatorOutput::Release {
             server,
             address,
             request: ReleaseRequest {
@@ -260,7 +262,7 @@
     }
 }
 
-/// Epoch of a shard if the server owns it.
+/// Epoch of a shard; `None` if the server doesn't own it.
 pub(super) fn owned_epoch(
     state: &OwnershipState,
     entry: &ServerEntry,
@@ -271,7 +273,8 @@
     Some(service.shard(shard)?.epoch)
 }
 
-/// Whether a server holds a shard at an epoch that a later assignment ended.
+/// Whether a server holds a shard at an epoch that ended with an assignment to another server, or holds
+/// one that doesn't exist.
 fn is_surplus(state: &OwnershipState, server: ServerIndex, held: &HeldShard) -> bool {
     let service = state.services().get(&held.service);
     let Some(shard) = service.and_then(|service| service.shard(held.shard)) else {
--- a/crates/ownership/src/coordinator/heartbeats.rs
+++ b/crates/ownership/src/coordinator/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: when they are due, and what their answers change.
+//! Heartbeats: their schedule, and the handling of their answers.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
     StandingOrigin,
 };
 
-use super::link::FAILURES_TO_SILENCE;
+use super::link::FAILURES_UNTIL_UNRESPONSIVE;
 use super::step::Step;
 use super::types::CoordinatorOutput;
 use super::Coordinator;
@@ -30,11 +30,11 @@
         let Some(link) = self.links.get_mut(&server) else {
             return;
         };
-        if link.heartbeat_under_way() || link.next_heartbeat != due {
+        if link.heartbeat_in_flight() || link.next_heartbeat != due {
             return;
         }
         let request = link.heartbeat(step.now, &self.config, self.term, may_renew);
-        step.out.push(CoordinatorOutput::Heartbeat {
+        step.outputs.push(CoordinatorOutput::Heartbeat {
             server: link.name.clone(),
             address: link.address.clone(),
             request,
@@ -54,18 +54,18 @@
         let Some(link) = self.links.get_mut(&server) else {
             return;
         };
-        let was_able = link.leased && link.failures == 0;
+        let was_available = link.leased && link.failures == 0;
         if !link.answered(step.now, &self.config, entry.boot, sent_at, answer) {
             return;
         }
         self.due.insert((link.next_heartbeat, server));
-        let became_able = !was_able && link.leased;
-        if link.is_silent(step.now, self.config.lease) {
-            self.silent.insert(server);
+        let became_available = !was_available && link.leased;
+        if link.is_unresponsive(step.now, self.config.lease) {
+            self.unresponsive.insert(server);
         } else {
-            self.silent.remove(&server);
+            self.unresponsive.remove(&server);
         }
-        if became_able {
+        if became_available {
             self.supervise_soon(step.now);
         }
         self.check_boot(step, server, entry);
@@ -81,18 +81,18 @@
         let Some(link) = self.links.get_mut(&server) else {
             return;
         };
-        if !link.heartbeat_under_way() {
+        if !link.heartbeat_in_flight() {
             return;
         }
         link.failed(step.now, &self.config);
         self.due.insert((link.next_heartbeat, server));
-        self.silent.insert(server);
-        if link.failures >= FAILURES_TO_SILENCE {
+        self.unresponsive.insert(server);
+        if link.failures >= FAILURES_UNTIL_UNRESPONSIVE {
             self.supervise_soon(step.now);
         }
     }
 
-    /// Registers a new start, once any lease of the one before has ended.
+    /// Proposes the registration of a new start, once any lease of the former process has ended.
     fn check_boot(&mut self, step: &mut Step<'_>, server: ServerIndex, entry: &ServerEntry) {
         let Some(link) = self.links.get_mut(&server) else {
             return;
@@ -100,7 +100,7 @@
         let Some(boot) = link.boot.filter(|_| entry.boot != link.boot) else {
             return;
         };
-        if link.proposed || !link.earlier_starts_ended(step.now) {
+        if link.proposed || !link.earlier_leases_ended(step.now) {
             return;
         }
         link.proposed = true;
@@ -111,29 +111,30 @@
         }));
     }
 
-    /// Brings the server's standing in line with its own wish, or tells it an operator's.
+    /// Adapts the server's standing to the draining flag in its answer, or sends it a standing that an
+    /// operator set.
     fn check_standing(
         &mut self,
         step: &mut Step<'_>,
         server: ServerIndex,
         entry: &ServerEntry,
-        wishes_to_leave: bool,
+        reports_draining: bool,
     ) {
         if entry.removed {
             return;
         }
         let active = entry.standing == ServerStanding::Active;
-        match (active, entry.origin, wishes_to_leave) {
+        match (active, entry.origin, reports_draining) {
             (true, StandingOrigin::Server, true) => {
                 self.propose_standing(step, server, ServerStanding::Draining);
             }
             (false, StandingOrigin::Server, false) | (true, StandingOrigin::Operator, false) => {
                 self.propose_standing(step, server, ServerStanding::Active);
             }
-            (true, StandingOrigin::Operator, true) => self.tell_standing(step, server, false),
-            // A server that was told to leave refuses requests, so its shards move first.
+            (true, StandingOrigin::Operator, true) => self.send_drain(step, server, false),
+            // A draining server refuses requests, so the drain request is sent only after its shards moved.
             (false, StandingOrigin::Operator, false) if entry.owned.is_empty() => {
-                self.tell_standing(step, server, true);
+                self.send_drain(step, server, true);
             }
             _ => {}
         }
@@ -159,15 +160,15 @@
         }));
     }
 
-    fn tell_standing(&mut self, step: &mut Step<'_>, server: ServerIndex, draining: bool) {
+    fn send_drain(&mut self, step: &mut Step<'_>, server: ServerIndex, draining: bool) {
         let Some(link) = self.links.get_mut(&server) else {
             return;
         };
-        if link.drain_under_way || !step.leads() {
+        if link.drain_in_flight || !step.leads() {
             return;
         }
-        link.drain_under_way = true;
-        step.out.push(CoordinatorOutput::Drain {
+        link.drain_in_flight = true;
+        step.outputs.push(CoordinatorOutput::Drain {
             server: link.name.clone(),
             address: link.address.clone(),
             request: DrainRequest { draining },
--- a/crates/ownership/src/coordinator/link.rs
+++ b/crates/ownership/src/coordinator/link.rs
@@ -1,7 +1,7 @@
-//! What the leader knows of one server: its start, session, nonce and the bound of its lease.
+//! State that the leader keeps of one server: its boot number, session, nonce and the bound of its lease.
 //!
-//! Invariant: any lease that the server may hold, from whichever leader and at whichever of its starts,
-//! ends before [`ServerLink::fenced_until`].
+//! Invariant: any lease that the server may hold, from any leader and for any of its starts, ends before
+//! [`ServerLink::fenced_until`].
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,70 +14,70 @@
 use super::types::CoordinatorConfig;
 use crate::state::ServerEntry;
 
-/// Heartbeats without an answer, one after the other, after which a server counts as silent.
-pub(super) const FAILURES_TO_SILENCE: u32 = 3;
+/// Consecutive heartbeats without an answer after which a server counts as unresponsive.
+pub(super) const FAILURES_UNTIL_UNRESPONSIVE: u32 = 3;
 
-/// Lengths of a lease without a renewal, in spite of answers, after which renewing is given up.
-const LEASES_TO_GIVE_UP: u32 = 3;
+/// Lease durations without a successful renewal, in spite of answers, after which renewals stop.
+const LEASES_UNTIL_RENEWALS_STOP: u32 = 3;
 
-/// Heartbeats to a server without a lease follow each other after this fraction of the usual time.
-const LEAST_SPACING: u32 = 10;
+/// Heartbeats to a server without a lease are sent at the usual interval divided by this.
+const HEARTBEAT_SPACING_DIVISOR: u32 = 10;
 
-/// A nonce that the server issued, for the next renewal.
+/// A nonce issued by the server, for the next renewal.
 #[derive(Clone, Copy, Debug)]
 struct KnownNonce {
     nonce: Nonce,
     session: Session,
-    /// When it was first sent back. Sending it again extends no lease.
+    /// When it was first sent in a renewal. Sending it again doesn't extend the lease.
     first_sent: Option<Duration>,
 }
 
-/// One server as the leader knows it.
+/// State of one server, as known to the leader.
 #[derive(Debug)]
 pub(super) struct ServerLink {
     pub name: ServerName,
     pub service: ServiceName,
     pub address: SocketAddress,
     pub next_heartbeat: Duration,
-    /// When the heartbeat under way was sent, and whether it carried a renewal.
+    /// When the heartbeat in flight was sent, and whether it contains a renewal.
     in_flight: Option<(Duration, bool)>,
     pub failures: u32,
-    pub last_heard: Option<Duration>,
+    pub last_answered_at: Option<Duration>,
     last_renewed: Duration,
     pub boot: Option<u64>,
     pub session: Option<Session>,
     nonce: Option<KnownNonce>,
-    /// End of any lease of the present start.
+    /// End of any lease of the current process.
     bound: Duration,
-    /// End of any lease of earlier starts, or at earlier addresses.
+    /// End of any lease of earlier processes, or at earlier addresses.
     earlier_bound: Duration,
     pub leased: bool,
     lease_remaining: Duration,
-    pub wishes_to_leave: bool,
+    pub reports_draining: bool,
     pub held: u32,
-    /// Committed to the server and not yet known to be held.
+    /// Shards assigned to the server and not yet known to be held.
     pub to_grant: BTreeSet<ShardId>,
-    /// Owned and surely not held: the server released the shard at its epoch.
+    /// Shards owned and certainly not held, since the server released them at their epoch.
     pub unheld: BTreeSet<ShardId>,
-    /// Releases to ask for.
+    /// Shards whose release has to be requested.
     pub releasing: BTreeSet<ShardId>,
-    /// Released by whoever answered at the address: the owner only if the next heartbeat tells the
-    /// registered boot.
+    /// Shards released by the process that answered at the address. It is the owner only if the next
+    /// heartbeat answer contains the registered boot number.
     pub unconfirmed: BTreeSet<ShardId>,
     unconfirmed_since: Duration,
     pub next_release: Duration,
-    pub grant_under_way: bool,
-    /// A grant was refused; the next waits for a heartbeat.
+    pub grant_in_flight: bool,
+    /// A grant was refused or failed; the next one is sent only after a heartbeat answer.
     pub grant_on_hold: bool,
-    pub release_under_way: bool,
-    pub holdings_under_way: bool,
-    pub drain_under_way: bool,
-    /// A change of its standing or boot is proposed.
+    pub release_in_flight: bool,
+    pub holdings_in_flight: bool,
+    pub drain_in_flight: bool,
+    /// A change of its standing or boot number is proposed.
     pub proposed: bool,
-    /// Last moment at which what it should hold changed.
+    /// Last time at which the set of shards that it should hold changed.
     pub changed_at: Duration,
     pub machine: Option<MachineState>,
-    /// Routers can't reach it, until then.
+    /// Until this time the server counts as unreachable for routers.
     pub unreachable_until: Duration,
 }
 
@@ -90,7 +90,7 @@
             next_heartbeat: now,
             in_flight: None,
             failures: 0,
-            last_heard: None,
+            last_answered_at: None,
             last_renewed: now,
             boot: None,
             session: None,
@@ -99,7 +99,7 @@
             earlier_bound: Duration::ZERO,
             leased: false,
             lease_remaining: Duration::ZERO,
-            wishes_to_leave: false,
+            reports_draining: false,
             held: 0,
             to_grant: BTreeSet::new(),
             unheld: BTreeSet::new(),
@@ -107,11 +107,11 @@
             unconfirmed: BTreeSet::new(),
             unconfirmed_since: now,
             next_release: now,
-            grant_under_way: false,
+            grant_in_flight: false,
             grant_on_hold: false,
-            release_under_way: false,
-            holdings_under_way: false,
-            drain_under_way: false,
+            release_in_flight: false,
+            holdings_in_flight: false,
+            drain_in_flight: false,
             proposed: false,
             changed_at: now,
             machine: None,
@@ -119,40 +119,41 @@
         }
     }
 
-    /// Starts anew with the process at another address; the former one may go on until its lease ends.
+    /// Resets the state for the process at a new address; the former process may run until its lease ends.
     pub fn change_address(&mut self, address: SocketAddress, now: Duration) {
         self.earlier_bound = self.fenced_until();
         self.address = address;
         self.in_flight = None;
         self.next_heartbeat = now;
-        self.forget_start();
+        self.clear_boot();
     }
 
-    /// End of any lease the server may hold.
+    /// End of any lease that the server may hold.
     pub fn fenced_until(&self) -> Duration {
         self.bound.max(self.earlier_bound)
     }
 
-    /// Whether any lease of an earlier start has ended.
-    pub fn earlier_starts_ended(&self, now: Duration) -> bool {
+    /// Whether any lease of an earlier process has ended.
+    pub fn earlier_leases_ended(&self, now: Duration) -> bool {
         now >= self.earlier_bound
     }
 
-    pub fn heartbeat_under_way(&self) -> bool {
+    pub fn heartbeat_in_flight(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Whether the server neither answers nor can be renewed.
-    pub fn is_silent(&self, now: Duration, lease: Duration) -> bool {
-        self.failures >= FAILURES_TO_SILENCE || self.is_given_up(now, lease)
+    /// Whether the server doesn't answer heartbeats, or its renewals stopped.
+    pub fn is_unresponsive(&self, now: Duration, lease: Duration) -> bool {
+        self.failures >= FAILURES_UNTIL_UNRESPONSIVE || self.renewals_stopped(now, lease)
     }
 
-    /// Whether the server answers but takes no renewal, so that its lease is left to end.
-    fn is_given_up(&self, now: Duration, lease: Duration) -> bool {
-        now > self.last_renewed + lease * LEASES_TO_GIVE_UP
+    /// Whether renewals are no longer sent, since none succeeded for several lease durations. The lease then
+    /// expires.
+    fn renewals_stopped(&self, now: Duration, lease: Duration) -> bool {
+        now > self.last_renewed + lease * LEASES_UNTIL_RENEWALS_STOP
     }
 
-    /// The next heartbeat. It renews the lease if a nonce is known and `may_renew`.
+    /// Builds the next heartbeat. It contains a renewal if a nonce is known and `may_renew` is true.
     pub fn heartbeat(
         &mut self,
         now: Duration,
@@ -160,7 +161,7 @@
         term: Term,
         may_renew: bool,
     ) -> HeartbeatRequest {
-        let may_renew = may_renew && !self.is_given_up(now, config.lease);
+        let may_renew = may_renew && !self.renewals_stopped(now, config.lease);
         let lease = may_renew.then(|| self.renewal(now, config)).flatten();
         self.in_flight = Some((now, lease.is_some()));
         self.next_heartbeat = now + config.heartbeat;
@@ -185,10 +186,10 @@
         })
     }
 
-    /// Takes an answer; `false` when it answers no heartbeat under way.
+    /// Handles an answer; `false` if it belongs to no heartbeat in flight.
     ///
-    /// `registered` is the start that the replicated state knows; another one in the answer means that
-    /// the former process may go on until its lease ends.
+    /// `registered` is the boot number in the replicated state. Another one in the answer means that the
+    /// former process may run until its lease ends.
     pub fn answered(
         &mut self,
         now: Duration,
@@ -206,11 +207,11 @@
             .is_some_and(|boot| boot != answer.boot)
         {
             self.earlier_bound = self.fenced_until();
-            self.forget_start();
+            self.clear_boot();
         }
         let same_session = self.session == Some(answer.session);
         self.failures = 0;
-        self.last_heard = Some(now);
+        self.last_answered_at = Some(now);
         if answer.renewed {
             self.last_renewed = now;
         }
@@ -223,10 +224,11 @@
         });
         self.lease_remaining = Duration::from_millis(answer.lease_remaining_ms);
         self.leased = answer.lease_remaining_ms > 0;
-        self.wishes_to_leave = answer.draining;
+        self.reports_draining = answer.draining;
         self.held = answer.held;
         self.grant_on_hold = false;
-        if self.is_given_up(now, config.lease) && now >= self.fenced_until() + config.heartbeat {
+        if self.renewals_stopped(now, config.lease) && now >= self.fenced_until() + config.heartbeat
+        {
             self.last_renewed = now;
         }
         if !self.unconfirmed.is_empty() && sent_at < self.unconfirmed_since {
@@ -234,7 +236,7 @@
         }
         let was_refused = carried_renewal && same_session;
         if !self.leased && !was_refused {
-            self.next_heartbeat = now.max(sent_at + config.heartbeat / LEAST_SPACING);
+            self.next_heartbeat = now.max(sent_at + config.heartbeat / HEARTBEAT_SPACING_DIVISOR);
         }
         true
     }
@@ -247,25 +249,25 @@
         self.next_heartbeat = now.max(sent_at + config.heartbeat / 2);
     }
 
-    /// Lease that the server had left at `now`, as it told last.
+    /// Remaining lease time at `now`, according to the server's last answer.
     pub fn lease_remaining(&self, now: Duration) -> Duration {
-        let heard = self.last_heard.unwrap_or(now);
+        let answered_at = self.last_answered_at.unwrap_or(now);
         self.lease_remaining
-            .saturating_sub(now.saturating_sub(heard))
+            .saturating_sub(now.saturating_sub(answered_at))
     }
 
-    /// Forgets what was under way for a shard that the server no longer owns.
-    pub fn forget_shard(&mut self, shard: ShardId) {
+    /// Discards all state of a shard that the server no longer owns.
+    pub fn remove_shard(&mut self, shard: ShardId) {
         self.to_grant.remove(&shard);
         self.unheld.remove(&shard);
         self.releasing.remove(&shard);
         self.unconfirmed.remove(&shard);
     }
 
-    /// Notes releases, and has a heartbeat tell soon which process answered them.
-    pub fn note_released(&mut self, now: Duration, shards: impl Iterator<Item = ShardId>) {
-        let asked = shards.filter(|shard| self.releasing.remove(shard));
-        self.unconfirmed.extend(asked);
+    /// Records released shards and schedules a heartbeat at once, which shows which process released them.
+    pub fn record_released(&mut self, now: Duration, shards: impl Iterator<Item = ShardId>) {
+        let requested = shards.filter(|shard| self.releasing.remove(shard));
+        self.unconfirmed.extend(requested);
         if self.unconfirmed.is_empty() {
             return;
         }
@@ -273,7 +275,8 @@
         self.next_heartbeat = now;
     }
 
-    /// Releases that a heartbeat sent at `sent_at` confirms, its boot being the registered one.
+    /// Takes the releases confirmed by the answer to a heartbeat sent at `sent_at`, provided that its boot
+    /// number is the registered one.
     pub fn take_confirmed(&mut self, sent_at: Duration) -> BTreeSet<ShardId> {
         if sent_at < self.unconfirmed_since {
             return BTreeSet::new();
@@ -281,7 +284,7 @@
         std::mem::take(&mut self.unconfirmed)
     }
 
-    fn forget_start(&mut self) {
+    fn clear_boot(&mut self) {
         self.boot = None;
         self.session = None;
         self.nonce = None;
@@ -292,12 +295,12 @@
     }
 }
 
-/// A length of time on a server's clock, at its longest on the leader's clock.
+/// Longest duration on the leader's clock of `length` on a server's clock.
 pub(super) fn with_drift(length: Duration, config: &CoordinatorConfig) -> Duration {
     length + length * config.drift_percent / 100
 }
 
-/// Bound of leases that an earlier leader may have given.
+/// End of any lease that an earlier leader may have renewed.
 pub(super) fn unknown_bound(config: &CoordinatorConfig, leader_since: Duration) -> Duration {
     leader_since + with_drift(config.leader_lease + config.lease, config)
 }
--- a/crates/ownership/src/coordinator/load.rs
+++ b/crates/ownership/src/coordinator/load.rs
@@ -1,6 +1,7 @@
-//! Load as routers counted it: hot shards, and servers that routers can't reach.
+//! Load reported by routers: overloaded servers, hot shards, and servers that routers can't reach.
 //!
-//! Invariant: reports only start planned moves within the limits on churn; they never take a shard.
+//! Invariant: reports only cause planned moves within the churn limits, and never a reassignment without
+//! a release.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,32 +13,32 @@
 use super::Coordinator;
 use crate::state::{OwnershipState, ServerIndex, ServiceState};
 
-/// Length of one window of counting.
+/// Length of one window over which load is counted.
 const WINDOW: Duration = Duration::from_secs(2);
 
-/// Time after a move until both windows in use began after it.
+/// Time after a move until both windows in use started after it.
 pub(super) const LOAD_STALE_FOR: Duration = Duration::from_secs(6);
 
-/// Windows in a row that a server must fail for.
-const WINDOWS_TO_ACT: u32 = 2;
+/// Consecutive windows with too many failures after which a server counts as unreachable.
+const FAILING_WINDOWS_UNTIL_UNREACHABLE: u32 = 2;
 
-/// Requests in a window from which failures say something.
-const LEAST_SENT: u64 = 10;
+/// Fewest requests in a window for which the failure rate is significant.
+const MINIMUM_SENT: u64 = 10;
 
-/// Failed requests, in percent, from which a server counts as out of the routers' reach.
+/// Share of failed requests, in percent, from which a window counts as failing.
 const UNREACHABLE_PERCENT: u64 = 90;
 
-/// How long a server out of the routers' reach receives no shards.
+/// How long an unreachable server receives no shards.
 const UNREACHABLE_FOR: Duration = Duration::from_secs(60);
 
-/// One in so many servers of a service may count as out of reach at a time.
+/// At most one in this many servers of a service, but at least one, counts as unreachable at a time.
 const UNREACHABLE_FRACTION: usize = 3;
 
-/// Busy time of a server in a window, in microseconds, from which its load says something.
-const LEAST_BUSY_US: u64 = 200_000;
+/// Least busy time of a server in a window, in microseconds, for which its load is significant.
+const MINIMUM_BUSY_US: u64 = 200_000;
 
-/// Shards that a window remembers.
-const SHARDS_KEPT: usize = 16_384;
+/// Most shards counted in one window.
+const MAXIMUM_SHARDS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerCount {
@@ -51,7 +52,7 @@
 struct Window {
     servers: BTreeMap<ServerIndex, ServerCount>,
     shards: BTreeMap<ServiceName, BTreeMap<ShardId, u64>>,
-    shards_kept: usize,
+    shard_count: usize,
 }
 
 impl Window {
@@ -67,14 +68,14 @@
     }
 }
 
-/// The window being counted and the two before. Only load that stood in both counts.
+/// The current window and the two before. Only the load present in both earlier windows counts.
 #[derive(Debug)]
 pub(super) struct Load {
     ends: Duration,
     counting: Window,
     last: Window,
     before: Window,
-    /// Windows in a row with too many failures.
+    /// Number of consecutive windows with too many failures.
     failing: BTreeMap<ServerIndex, u32>,
 }
 
@@ -93,7 +94,7 @@
         self.ends
     }
 
-    /// Counts a report. Names that the state doesn't know are left out.
+    /// Adds a report to the current window. Unknown servers and shards are ignored.
     pub fn count(&mut self, state: &OwnershipState, report: &LoadReport) {
         let window = &mut self.counting;
         for load in &report.servers {
@@ -107,19 +108,19 @@
         }
         for load in &report.shards {
             let known = state.owner(&load.service, load.shard).is_some();
-            if window.shards_kept >= SHARDS_KEPT || !known {
+            if window.shard_count >= MAXIMUM_SHARDS || !known {
                 continue;
             }
             let shards = window.shards.entry(load.service.clone()).or_default();
             let busy = shards.entry(load.shard).or_insert_with(|| {
-                window.shards_kept += 1;
+                window.shard_count += 1;
                 0
             });
             *busy = busy.saturating_add(load.busy_us);
         }
     }
 
-    /// Whether some server's load stood over its share by more than `percent`.
+    /// Whether the load of a server exceeds its share by more than `percent`.
     pub fn is_uneven(&self, view: &ServiceView, percent: u32) -> bool {
         let settled = || view.servers.iter().filter(|server| server.settled);
         let busy: u64 = settled()
@@ -133,12 +134,12 @@
         settled().any(|server| {
             let own = self.server_busy_us(server.index);
             let share = busy as f64 * server.weight / weights;
-            own >= LEAST_BUSY_US && own as f64 > share * allowed
+            own >= MINIMUM_BUSY_US && own as f64 > share * allowed
         })
     }
 
-    /// Busy time of each shard. What the routers' lists leave out is spread over the rest of the
-    /// owner's shards.
+    /// Busy time of each shard. The part of a server's busy time that the routers did not attribute to
+    /// shards is spread evenly over all its shards.
     pub fn of_shards(
         &self,
         state: &OwnershipState,
@@ -162,13 +163,13 @@
         loads
     }
 
-    /// Busy time of each server of a service; empty while that is too little to say something.
+    /// Busy time of each server of a service; empty if no server reaches the significant minimum.
     pub fn of_servers(&self, view: &ServiceView) -> Vec<f64> {
         let servers = view.servers.iter();
         let busy: Vec<u64> = servers
             .map(|server| self.server_busy_us(server.index))
             .collect();
-        if busy.iter().all(|&busy| busy < LEAST_BUSY_US) {
+        if busy.iter().all(|&busy| busy < MINIMUM_BUSY_US) {
             return Vec::new();
         }
         busy.into_iter().map(|busy| busy as f64).collect()
@@ -183,8 +184,8 @@
         last.min(self.before.shard_busy_us(service, shard))
     }
 
-    /// Ends the window if it is over.
-    fn turn(&mut self, now: Duration) -> bool {
+    /// Starts the next window if the current one has ended; returns whether it did.
+    fn rotate(&mut self, now: Duration) -> bool {
         if now < self.ends {
             return false;
         }
@@ -193,7 +194,7 @@
         self.before = std::mem::replace(&mut self.last, counted);
         let failing = |server: &ServerIndex| {
             let count = self.last.servers.get(server).copied().unwrap_or_default();
-            count.sent >= LEAST_SENT && count.failed * 100 >= count.sent * UNREACHABLE_PERCENT
+            count.sent >= MINIMUM_SENT && count.failed * 100 >= count.sent * UNREACHABLE_PERCENT
         };
         self.failing.retain(|server, _| failing(server));
         for server in self.last.servers.keys().filter(|server| failing(server)) {
@@ -204,9 +205,9 @@
 }
 
 impl Coordinator {
-    /// Looks at the counts at the end of a window.
-    pub(super) fn turn_load_window(&mut self, step: &Step<'_>) {
-        if !self.load.turn(step.now) {
+    /// Evaluates the counts at the end of a window.
+    pub(super) fn rotate_load_window(&mut self, step: &Step<'_>) {
+        if !self.load.rotate(step.now) {
             return;
         }
         for service in step.state.services().values() {
@@ -223,19 +224,19 @@
             let link = self.links.get(server);
             link.is_some_and(|link| link.unreachable_until > now)
         });
-        let most = (service.servers.len() / UNREACHABLE_FRACTION).max(1);
-        let mut room = most.saturating_sub(marked.count());
+        let limit = (service.servers.len() / UNREACHABLE_FRACTION).max(1);
+        let mut remaining = limit.saturating_sub(marked.count());
         for server in &service.servers {
             let streak = self.load.failing.get(server).copied().unwrap_or(0);
             let Some(link) = self.links.get_mut(server) else {
                 continue;
             };
             let is_marked = link.unreachable_until > now;
-            if streak < WINDOWS_TO_ACT || (room == 0 && !is_marked) {
+            if streak < FAILING_WINDOWS_UNTIL_UNREACHABLE || (remaining == 0 && !is_marked) {
                 continue;
             }
             if !is_marked {
-                room -= 1;
+                remaining -= 1;
             }
             link.unreachable_until = now + UNREACHABLE_FOR;
         }
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -1,7 +1,7 @@
-//! The leader's coordinator: leases, grants, planned moves and losses.
+//! The leader's coordinator: leases, grants, planned moves and loss of servers.
 //!
 //! Invariant: nothing is granted before its assignment is committed, and no shard is assigned away from
-//! a server before the server released it or any lease it may hold has ended.
+//! a server before the server has released it or any lease it may hold has ended.
 
 mod applied;
 mod balance;
@@ -32,61 +32,64 @@
 
 pub use types::{CoordinatorConfig, CoordinatorInput, CoordinatorOutput};
 
-/// Decides for one term of leadership; built anew at each.
+/// State of the coordinator during one term of leadership; each term starts with a new one.
 #[derive(Debug)]
 pub struct Coordinator {
     config: CoordinatorConfig,
     term: Term,
     leader_since: Duration,
     links: BTreeMap<ServerIndex, ServerLink>,
-    /// Index of the bundle that the links follow.
-    followed: Option<LogIndex>,
-    /// Heartbeats by the time they are due.
+    /// Index of the bundle that `links` corresponds to.
+    tracked_bundle: Option<LogIndex>,
+    /// Servers by the time at which their next heartbeat is due.
     due: BTreeSet<(Duration, ServerIndex)>,
-    /// Servers that failed to answer, or to take renewals.
-    silent: BTreeSet<ServerIndex>,
-    /// Servers that may be ready for grants.
-    to_flush: BTreeSet<ServerIndex>,
-    /// Servers with releases to ask for.
-    to_release: BTreeSet<ServerIndex>,
-    /// When the first of them may be asked again.
+    /// Servers with a failed heartbeat or without renewals; their fencing bounds schedule supervision.
+    unresponsive: BTreeSet<ServerIndex>,
+    /// Servers for which grants may have to be sent.
+    grants_due: BTreeSet<ServerIndex>,
+    /// Servers for which releases may have to be requested.
+    releases_due: BTreeSet<ServerIndex>,
+    /// Earliest time at which one of `releases_due` may get its next request.
     next_release: Option<Duration>,
     pending: Pending,
     moves: Moves,
     balances: BTreeMap<ServiceName, Balance>,
     load: Load,
-    /// Start of the leadership or of the bundle in force, whichever is later.
+    /// Start of the leadership, or time at which the bundle in force was first seen, whichever is
+    /// later.
     settle_since: Duration,
-    last_look: Duration,
-    next_look: Duration,
+    last_supervision: Duration,
+    next_supervision: Duration,
 }
 
 impl Coordinator {
-    /// Starts a term. Call it only once every entry of earlier terms is applied, that is once the
-    /// leader's first entry of its own term is; `now` is the time since which the replica leads.
+    /// Starts a term at `now`, the time at which the replica became leader. It must be called only when
+    /// every entry of earlier terms is applied, which holds once the first entry of the leader's own term
+    /// is applied.
     pub fn new(config: CoordinatorConfig, term: Term, now: Duration) -> Self {
         Self {
             config,
             term,
             leader_since: now,
             links: BTreeMap::new(),
-            followed: None,
+            tracked_bundle: None,
             due: BTreeSet::new(),
-            silent: BTreeSet::new(),
-            to_flush: BTreeSet::new(),
-            to_release: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
+            grants_due: BTreeSet::new(),
+            releases_due: BTreeSet::new(),
             next_release: None,
             pending: Pending::default(),
             moves: Moves::default(),
             balances: BTreeMap::new(),
             load: Load::new(now),
             settle_since: now,
-            last_look: now,
-            next_look: now,
+            last_supervision: now,
+            next_supervision: now,
         }
     }
 
-    /// Takes one input. Renewals, grants and releases are sent only while `leader_lease_until > now`.
+    /// Handles one input and returns the resulting requests and proposals. Renewals, grants and releases
+    /// are sent only while `leader_lease_until > now`.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -95,25 +98,29 @@
         input: CoordinatorInput<'_>,
     ) -> Vec<CoordinatorOutput> {
         let mut step = Step::new(now, state, leader_lease_until);
-        self.follow_bundle(&step);
-        self.take_input(&mut step, input);
+        self.track_bundle(&step);
+        self.handle_input(&mut step, input);
         self.send_heartbeats(&mut step);
-        self.turn_load_window(&step);
+        self.rotate_load_window(&step);
         self.supervise(&mut step);
         self.send_releases(&mut step);
         self.send_grants(&mut step);
-        step.out
+        step.outputs
     }
 
-    /// When [`CoordinatorInput::Tick`] is due.
+    /// Time at which the next [`CoordinatorInput::Tick`] is due.
     pub fn next_wake(&self) -> Duration {
         let wakes = [
             self.due.first().map(|(due, _)| *due),
             self.next_release,
             Some(self.load.ends()),
-            Some(self.next_look),
+            Some(self.next_supervision),
         ];
-        wakes.into_iter().flatten().min().unwrap_or(self.next_look)
+        wakes
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(self.next_supervision)
     }
 
     /// Term of this leadership.
@@ -121,7 +128,7 @@
         self.term
     }
 
-    /// What is known of each server, by service and the bundle's order.
+    /// Status of each server, ordered by service and by position in the bundle.
     pub fn server_status(&self, now: Duration, state: &OwnershipState) -> Vec<ServerStatus> {
         let services = state.services().values();
         let servers = services.flat_map(|service| service.servers.iter());
@@ -130,12 +137,12 @@
             .collect()
     }
 
-    /// Shards on their way from one server to another.
+    /// Number of shards that are being moved between servers.
     pub fn moving(&self) -> u32 {
         self.moves.len() as u32
     }
 
-    /// Shards that no server owns.
+    /// Number of shards without an owner.
     pub fn unowned(&self, state: &OwnershipState) -> u32 {
         state.unowned_shards() as u32
     }
@@ -144,8 +151,8 @@
         let entry = state.servers().get(index);
         let link = self.links.get(&index);
         let remaining = link.map_or(Duration::ZERO, |link| link.lease_remaining(now));
-        let heard = link.and_then(|link| link.last_heard);
-        let silence = now.saturating_sub(heard.unwrap_or(self.leader_since));
+        let answered_at = link.and_then(|link| link.last_answered_at);
+        let since_answer = now.saturating_sub(answered_at.unwrap_or(self.leader_since));
         ServerStatus {
             service: entry.service.clone(),
             server: entry.server.name.clone(),
@@ -155,11 +162,11 @@
             shards: entry.owned.len() as u32,
             held: link.map_or(0, |link| link.held),
             lease_remaining_ms: remaining.as_millis() as u64,
-            last_heard_ms: silence.as_millis() as u64,
+            last_heard_ms: since_answer.as_millis() as u64,
         }
     }
 
-    fn take_input(&mut self, step: &mut Step<'_>, input: CoordinatorInput<'_>) {
+    fn handle_input(&mut self, step: &mut Step<'_>, input: CoordinatorInput<'_>) {
         use CoordinatorInput as Input;
         match input {
             Input::Tick => {}
@@ -182,23 +189,23 @@
             }
             Input::HoldingsFailed { server } => {
                 if let Some((_, link)) = self.link_mut(step, &server) {
-                    link.holdings_under_way = false;
+                    link.holdings_in_flight = false;
                 }
             }
             Input::DrainDone { server } => {
                 if let Some((_, link)) = self.link_mut(step, &server) {
-                    link.drain_under_way = false;
+                    link.drain_in_flight = false;
                 }
             }
             Input::LoadReported(report) => self.load.count(step.state, report),
-            Input::Machines(list) => self.take_machines(step, list),
+            Input::Machines(list) => self.update_machines(step, list),
             Input::Applied(applied) => self.applied(step, applied),
             Input::ProposeFailed(command) => self.propose_failed(step, command),
         }
     }
 
-    /// The list lags, so it decides nothing but who is preferred for new shards.
-    fn take_machines(&mut self, step: &Step<'_>, list: &MachineList) {
+    /// The list is delayed, so it only affects which servers are preferred for new shards.
+    fn update_machines(&mut self, step: &Step<'_>, list: &MachineList) {
         for machine in &list.machines {
             if let Some((_, link)) = self.link_mut(step, &machine.server) {
                 link.machine = Some(machine.state);
@@ -206,13 +213,13 @@
         }
     }
 
-    /// Keeps one link for each server of the bundle in force.
-    fn follow_bundle(&mut self, step: &Step<'_>) {
+    /// Keeps one link for each server of the bundle in force, and for removed ones that own shards.
+    fn track_bundle(&mut self, step: &Step<'_>) {
         let in_force = step.state.bundle_record().map(|record| record.index);
-        if in_force == self.followed {
+        if in_force == self.tracked_bundle {
             return;
         }
-        self.followed = in_force;
+        self.tracked_bundle = in_force;
         self.settle_since = step.now;
         let servers = step.state.servers();
         self.links.retain(|&index, link| {
@@ -224,17 +231,17 @@
                 self.links.remove(&index);
                 continue;
             }
-            self.follow_server(step.now, index, entry);
+            self.track_server(step.now, index, entry);
         }
         let known = |server: &ServerIndex| self.links.contains_key(server);
-        self.silent.retain(known);
-        self.to_flush.retain(known);
-        self.to_release.retain(known);
+        self.unresponsive.retain(known);
+        self.grants_due.retain(known);
+        self.releases_due.retain(known);
         self.drop_outdated_moves(step);
         self.supervise_soon(step.now);
     }
 
-    fn follow_server(
+    fn track_server(
         &mut self,
         now: Duration,
         index: ServerIndex,
--- a/crates/ownership/src/coordinator/moves.rs
+++ b/crates/ownership/src/coordinator/moves.rs
@@ -1,4 +1,4 @@
-//! Planned moves: release, commit, grant.
+//! Planned moves of shards: release, commit, grant.
 //!
 //! Invariant: a shard moves only after its owner released it at the epoch at which the move began.
 
@@ -12,42 +12,42 @@
 use super::Coordinator;
 use crate::state::{OwnershipState, ServerIndex};
 
-/// Fraction of a heartbeat's interval after which a busy shard's release is asked again.
-const RELEASE_RETRY: u32 = 10;
+/// Release requests per heartbeat interval to a server whose shards are still busy.
+const RELEASE_RETRIES_PER_HEARTBEAT: u32 = 10;
 
-/// How far a move has come.
+/// Phase of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The owner is asked to release.
+    /// The release by the owner is pending.
     Releasing,
-    /// Released; a new owner is to be proposed.
+    /// Released; the assignment to a new owner has to be proposed.
     Released,
-    /// The new owner is proposed.
+    /// The assignment to the new owner is proposed and not applied yet.
     Committing,
 }
 
-/// Why a shard moves.
+/// Reason of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reason {
-    /// Its owner leaves.
-    Leaving,
-    /// For shares, balance or reachability, within the limits on churn.
+    /// The owner is draining or removed. The limit on moves per minute doesn't apply.
+    Drain,
+    /// Shares, load or reachability, within the churn limits.
     Balance,
 }
 
-/// One shard on its way.
+/// The move of one shard.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Move {
     pub from: ServerIndex,
     pub epoch: Epoch,
-    /// Chosen anew if it can't receive when the shard is released.
+    /// New owner. Another one is chosen if this one is not eligible when the shard is released.
     pub to: Option<ServerIndex>,
     pub reason: Reason,
     pub phase: Phase,
 }
 
 impl Move {
-    /// A move that begins with the release by its owner.
+    /// A move that starts with the release by the owner.
     pub fn planned(
         from: ServerIndex,
         epoch: Epoch,
@@ -63,16 +63,16 @@
         }
     }
 
-    /// A shard found to be released, as by an earlier leader's move.
+    /// A move of a shard that is already released, for instance by a move of an earlier leader.
     pub fn released(from: ServerIndex, epoch: Epoch) -> Self {
         Self {
             phase: Phase::Released,
-            ..Self::planned(from, epoch, None, Reason::Leaving)
+            ..Self::planned(from, epoch, None, Reason::Drain)
         }
     }
 }
 
-/// Moves under way, by service and shard.
+/// Moves in progress, by service and shard.
 #[derive(Debug, Default)]
 pub(super) struct Moves {
     services: BTreeMap<ServiceName, BTreeMap<ShardId, Move>>,
@@ -98,7 +98,7 @@
         self.services.get_mut(service)?.get_mut(&shard)
     }
 
-    /// Starts a move, unless one of the shard is under way.
+    /// Adds a move, unless the shard has one in progress.
     pub fn insert(&mut self, service: &ServiceName, shard: ShardId, planned: Move) {
         let moves = match self.services.get_mut(service) {
             Some(moves) => moves,
@@ -111,7 +111,7 @@
         self.services.get_mut(service)?.remove(&shard)
     }
 
-    /// Drops moves whose shard is no longer owned as when they began, and gives them.
+    /// Removes and returns the moves whose shard has another owner or epoch than at their start.
     pub fn drop_outdated(&mut self, state: &OwnershipState) -> Vec<(ServiceName, ShardId, Move)> {
         let mut dropped = Vec::new();
         for (name, moves) in &mut self.services {
@@ -137,24 +137,24 @@
         self.moves.insert(service, shard, planned);
         if let Some(link) = self.links.get_mut(&planned.from) {
             link.releasing.insert(shard);
-            self.to_release.insert(planned.from);
+            self.releases_due.insert(planned.from);
         }
     }
 
-    /// Asks for the releases that are due.
+    /// Sends the release requests that are due.
     pub(super) fn send_releases(&mut self, step: &mut Step<'_>) {
         self.next_release = None;
         if !step.leads() {
             return;
         }
         let mut later = BTreeSet::new();
-        for server in std::mem::take(&mut self.to_release) {
+        for server in std::mem::take(&mut self.releases_due) {
             let Some(link) = self.links.get_mut(&server) else {
                 continue;
             };
             let entry = step.state.servers().get(server);
             let is_registered = link.boot.is_some() && link.boot == entry.boot;
-            if link.release_under_way || link.releasing.is_empty() || !is_registered {
+            if link.release_in_flight || link.releasing.is_empty() || !is_registered {
                 continue;
             }
             if link.next_release > step.now {
@@ -175,11 +175,11 @@
                 link.releasing.clear();
                 continue;
             }
-            link.release_under_way = true;
+            link.release_in_flight = true;
             let (name, address) = (link.name.clone(), link.address.clone());
-            self.ask_release(step, name, address, shards);
+            self.send_release(step, name, address, shards);
         }
-        self.to_release = later;
+        self.releases_due = later;
     }
 
     pub(super) fn release_answered(
@@ -194,19 +194,20 @@
         let Some(link) = self.links.get_mut(&server) else {
             return;
         };
-        link.release_under_way = false;
-        link.next_release = step.now + self.config.heartbeat / RELEASE_RETRY;
+        link.release_in_flight = false;
+        link.next_release = step.now + self.config.heartbeat / RELEASE_RETRIES_PER_HEARTBEAT;
         link.changed_at = step.now;
         let still_owned = answer
             .released
             .iter()
             .filter(|held| owned_epoch(step.state, entry, held.shard) == Some(held.epoch));
-        link.note_released(step.now, still_owned.map(|held| held.shard));
+        link.record_released(step.now, still_owned.map(|held| held.shard));
         self.due.insert((link.next_heartbeat, server));
-        self.to_release.insert(server);
+        self.releases_due.insert(server);
     }
 
-    /// Goes on with moves whose release the registered start of the server confirmed.
+    /// Continues the moves whose release is confirmed by a heartbeat answer with the registered boot
+    /// number.
     pub(super) fn confirm_releases(
         &mut self,
         step: &mut Step<'_>,
@@ -221,7 +222,7 @@
             return;
         }
         if !link.releasing.is_empty() {
-            self.to_release.insert(server);
+            self.releases_due.insert(server);
         }
         let confirmed = link.take_confirmed(sent_at);
         if confirmed.is_empty() {
@@ -252,10 +253,10 @@
             return;
         };
         if let Some(link) = self.links.get_mut(&server) {
-            link.release_under_way = false;
-            link.next_release = step.now + self.config.heartbeat / RELEASE_RETRY;
+            link.release_in_flight = false;
+            link.next_release = step.now + self.config.heartbeat / RELEASE_RETRIES_PER_HEARTBEAT;
             link.changed_at = step.now;
-            self.to_release.insert(server);
+            self.releases_due.insert(server);
         }
     }
 }
--- a/crates/ownership/src/coordinator/pending.rs
+++ b/crates/ownership/src/coordinator/pending.rs
@@ -1,4 +1,4 @@
-//! Assignments that are proposed and not yet applied.
+//! Assignments that are proposed but not applied yet.
 //!
 //! Invariant: a shard with a proposed assignment is neither granted nor proposed again.
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Forgets a proposal; gives its new owner, if it had one.
+    /// Removes a proposed assignment; returns its new owner, if it has one.
     pub fn remove(&mut self, service: &ServiceName, shard: ShardId) -> Option<ServerIndex> {
         let proposed = self.services.get_mut(service)?.remove(&shard)?;
         self.count -= 1;
--- a/crates/ownership/src/coordinator/step.rs
+++ b/crates/ownership/src/coordinator/step.rs
@@ -1,4 +1,4 @@
-//! One call of the coordinator: the time, the state it sees, and what it puts out.
+//! Context of one call of the coordinator: the time, the replicated state and the outputs.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use super::types::CoordinatorOutput;
 use crate::state::OwnershipState;
 
-/// Inputs that every part of one call shares, and its outputs.
+/// Time, state and leader lease of one call, and the outputs collected during it.
 pub(super) struct Step<'a> {
     pub now: Duration,
     pub state: &'a OwnershipState,
     lease_until: Duration,
-    pub out: Vec<CoordinatorOutput>,
+    pub outputs: Vec<CoordinatorOutput>,
 }
 
 impl<'a> Step<'a> {
@@ -21,16 +21,16 @@
             now,
             state,
             lease_until,
-            out: Vec::new(),
+            outputs: Vec::new(),
         }
     }
 
-    /// Whether the replica surely still leads, so that it may renew, grant and release.
+    /// Whether the leader lease is valid, so that renewals, grants and releases may be sent.
     pub fn leads(&self) -> bool {
         self.now < self.lease_until
     }
 
     pub fn propose(&mut self, command: Command) {
-        self.out.push(CoordinatorOutput::Propose(command));
+        self.outputs.push(CoordinatorOutput::Propose(command));
     }
 }
--- a/crates/ownership/src/coordinator/supervise.rs
+++ b/crates/ownership/src/coordinator/supervise.rs
@@ -1,7 +1,7 @@
-//! Looks over the services: shards of silent servers, shards without an owner, servers that leave, and
-//! balance.
+//! Periodic supervision of the services: unresponsive servers, shards without an owner, draining servers
+//! and balance.
 //!
-//! Invariant: a silent server's shards are assigned elsewhere only once any lease it may hold has ended.
+//! Invariant: an unresponsive server's shards are reassigned only after any lease it may hold has ended.
 
 use std::time::Duration;
 
@@ -15,72 +15,77 @@
 use crate::guards::Guard;
 use crate::state::{ServerIndex, ServiceState};
 
-/// Assignments in one command.
+/// Most assignments in one command.
 const ASSIGNMENTS_PER_COMMAND: usize = 2_048;
 
-/// Assignments proposed and not applied, at most.
+/// Most assignments that are proposed and not applied yet.
 const MAXIMUM_PENDING: usize = 16_384;
 
-/// Shards of a leaving server that may move at once, whatever the limits on churn.
-const LEAVING_AT_ONCE: usize = 64;
+/// Shards of a draining server that may always move concurrently, regardless of the churn limits.
+const MINIMUM_DRAIN_MOVES: usize = 64;
 
-/// Fraction of a leaving server's shards that may move at once.
-const LEAVING_FRACTION: usize = 4;
+/// One in this many shards of a draining server may move concurrently, if that is more.
+const DRAIN_FRACTION: usize = 4;
 
-/// Heartbeats that servers get to show up before shards without an owner are handed out.
+/// Heartbeat intervals that servers have to answer before shards without an owner are assigned.
 const HEARTBEATS_TO_SETTLE: u32 = 3;
 
-/// Least time between two looks, as a fraction of a heartbeat's interval.
-const LEAST_PAUSE: u32 = 40;
+/// Most passes of supervision in one heartbeat interval.
+const SUPERVISIONS_PER_HEARTBEAT: u32 = 40;
 
-/// Usual time between two looks, in heartbeats.
-const USUAL_PAUSE: u32 = 5;
+/// Time between two passes of supervision without a particular reason, in heartbeat intervals.
+const HEARTBEATS_BETWEEN_SUPERVISIONS: u32 = 5;
 
 impl Coordinator {
-    /// Has the services looked over as soon as the least pause allows.
+    /// Schedules supervision for the earliest time that the minimum interval allows.
     pub(super) fn supervise_soon(&mut self, now: Duration) {
-        let earliest = self.last_look + self.config.heartbeat / LEAST_PAUSE;
-        self.next_look = self.next_look.min(now.max(earliest));
+        let earliest = self.last_supervision + self.config.heartbeat / SUPERVISIONS_PER_HEARTBEAT;
+        self.next_supervision = self.next_supervision.min(now.max(earliest));
     }
 
     pub(super) fn supervise(&mut self, step: &mut Step<'_>) {
-        if step.now < self.next_look {
+        if step.now < self.next_supervision {
             return;
         }
-        self.last_look = step.now;
-        self.next_look = step.now + self.config.heartbeat * USUAL_PAUSE;
+        self.last_supervision = step.now;
+        self.next_supervision = step.now + self.config.heartbeat * HEARTBEATS_BETWEEN_SUPERVISIONS;
         for (name, service) in step.state.services() {
-            self.look_over(step, name, service);
+            self.supervise_service(step, name, service);
         }
-        self.look_at_bounds(step.now);
+        self.schedule_fencing_checks(step.now);
     }
 
-    /// Looks again when the bound of a silent server passes.
-    fn look_at_bounds(&mut self, now: Duration) {
-        let silent = self
-            .silent
+    /// Schedules supervision for the time at which the next unresponsive server is fenced.
+    fn schedule_fencing_checks(&mut self, now: Duration) {
+        let unresponsive = self
+            .unresponsive
             .iter()
             .filter_map(|server| self.links.get(server));
-        let bounds = silent.map(|link| link.fenced_until());
+        let bounds = unresponsive.map(|link| link.fenced_until());
         if let Some(bound) = bounds.filter(|bound| *bound > now).min() {
-            self.next_look = self.next_look.min(bound);
+            self.next_supervision = self.next_supervision.min(bound);
         }
     }
 
-    fn look_over(&mut self, step: &mut Step<'_>, name: &ServiceName, service: &ServiceState) {
+    fn supervise_service(
+        &mut self,
+        step: &mut Step<'_>,
+        name: &ServiceName,
+        service: &ServiceState,
+    ) {
         let view = self.view(step.now, step.state, name, service);
         let mut receivers = view.receivers(&self.load);
         let mut batch = Vec::new();
-        self.take_lost(step, name, service, &view, &mut receivers, &mut batch);
+        self.reassign_lost(step, name, service, &view, &mut receivers, &mut batch);
         self.place_unowned(step, name, service, &view, &mut receivers, &mut batch);
         self.commit_released(step, name, service, &view, &mut receivers, &mut batch);
         self.propose_assignments(step, name, batch);
-        self.start_leaving(step, name, service, &view, &mut receivers);
+        self.start_drains(step, name, service, &view, &mut receivers);
         self.start_balance(step, name, service);
     }
 
-    /// Gives the shards of silent servers to others.
-    fn take_lost(
+    /// Reassigns the shards of lost servers.
+    fn reassign_lost(
         &mut self,
         step: &Step<'_>,
         name: &ServiceName,
@@ -89,7 +94,7 @@
         receivers: &mut LeastLoaded,
         batch: &mut Vec<(Assignment, Option<ServerIndex>)>,
     ) {
-        for lost in view.servers.iter().filter(|server| server.silent) {
+        for lost in view.servers.iter().filter(|server| server.unresponsive) {
             if !self.is_lost(step.now, lost.index) {
                 continue;
             }
@@ -102,27 +107,28 @@
                     break;
                 }
                 let next = next.map(|position| view.servers[position].index);
-                self.forget_move(name, shard, lost.index);
+                self.remove_move(name, shard, lost.index);
                 batch.push((assignment(step, name, service, shard, next, false), next));
             }
         }
     }
 
-    /// When every server that is well has shown up.
+    /// Time by which every available server is expected to have answered.
     pub(super) fn settled_at(&self) -> Duration {
         self.settle_since + self.config.heartbeat * HEARTBEATS_TO_SETTLE
     }
 
-    /// Whether a server is silent and surely holds nothing any more.
+    /// Whether a server is unresponsive and certainly holds no shards any more.
     fn is_lost(&self, now: Duration, server: ServerIndex) -> bool {
         let Some(link) = self.links.get(&server) else {
             return false;
         };
-        let fenced = now >= link.fenced_until() || !self.config.guards.has(Guard::FencingBound);
-        fenced && link.is_silent(now, self.config.lease)
+        let fenced =
+            now >= link.fenced_until() || !self.config.guards.is_enabled(Guard::FencingBound);
+        fenced && link.is_unresponsive(now, self.config.lease)
     }
 
-    fn forget_move(&mut self, service: &ServiceName, shard: ShardId, from: ServerIndex) {
+    fn remove_move(&mut self, service: &ServiceName, shard: ShardId, from: ServerIndex) {
         self.moves.remove(service, shard);
         if let Some(link) = self.links.get_mut(&from) {
             link.releasing.remove(&shard);
@@ -143,7 +149,7 @@
         }
         let settled_at = self.settled_at();
         if step.now < settled_at && !view.all_ready() {
-            self.next_look = self.next_look.min(settled_at);
+            self.next_supervision = self.next_supervision.min(settled_at);
             return;
         }
         for &shard in &service.unowned {
@@ -161,8 +167,8 @@
         }
     }
 
-    /// Proposes new owners of released shards: the one planned, else the least loaded, else the owner
-    /// until now, even if it leaves.
+    /// Proposes new owners of released shards: the planned one, else the least loaded one, else the current
+    /// owner, even if it is draining.
     fn commit_released(
         &mut self,
         step: &Step<'_>,
@@ -201,8 +207,8 @@
         }
     }
 
-    /// Starts moving the shards of servers that leave.
-    fn start_leaving(
+    /// Starts the moves of shards away from draining servers.
+    fn start_drains(
         &mut self,
         step: &mut Step<'_>,
         name: &ServiceName,
@@ -211,17 +217,17 @@
         receivers: &mut LeastLoaded,
     ) {
         let policy = &service.service.churn;
-        for leaving in view.servers.iter().filter(|server| server.leaving) {
-            let entry = step.state.servers().get(leaving.index);
-            let at_once = LEAVING_AT_ONCE
+        for draining in view.servers.iter().filter(|server| server.draining) {
+            let entry = step.state.servers().get(draining.index);
+            let concurrent = MINIMUM_DRAIN_MOVES
                 .max(policy.concurrent_moves.get() as usize)
-                .max(entry.owned.len() / LEAVING_FRACTION);
-            let under_way = self
+                .max(entry.owned.len() / DRAIN_FRACTION);
+            let in_progress = self
                 .moves
                 .of(name)
-                .filter(|(_, planned)| planned.from == leaving.index);
-            let room = at_once.saturating_sub(under_way.count());
-            let free: Vec<ShardId> = self.free_shards(name, leaving.index, step, room);
+                .filter(|(_, planned)| planned.from == draining.index);
+            let remaining = concurrent.saturating_sub(in_progress.count());
+            let free: Vec<ShardId> = self.free_shards(name, draining.index, step, remaining);
             for shard in free {
                 let to = receivers
                     .take()
@@ -229,12 +235,12 @@
                 if to.is_none() && !service.removed {
                     break;
                 }
-                self.start(service, name, shard, leaving.index, to, Reason::Leaving);
+                self.start(service, name, shard, draining.index, to, Reason::Drain);
             }
         }
     }
 
-    /// Shards of a server that nothing is under way for.
+    /// Shards of a server without a move or assignment in progress.
     fn free_shards(
         &self,
         name: &ServiceName,
@@ -268,7 +274,7 @@
     fn has_room(&self, in_batch: usize) -> Option<usize> {
         MAXIMUM_PENDING
             .checked_sub(self.pending.len() + in_batch)
-            .filter(|room| *room > 0)
+            .filter(|remaining| *remaining > 0)
     }
 
     fn propose_assignments(
--- a/crates/ownership/src/coordinator/types.rs
+++ b/crates/ownership/src/coordinator/types.rs
@@ -11,27 +11,27 @@
 use crate::applied::Applied;
 use crate::guards::Guards;
 
-/// Times and protections of a coordinator; equal on all replicas of the group.
+/// Durations and guards of a coordinator; equal on all replicas of the group.
 #[derive(Clone, Debug)]
 pub struct CoordinatorConfig {
     /// Control group.
     pub group: GroupId,
-    /// Length of a server's lease.
+    /// Duration of a server's lease.
     pub lease: Duration,
-    /// Time between two heartbeats to a server.
+    /// Interval between heartbeats to a server.
     pub heartbeat: Duration,
-    /// Most by which the rates of two clocks differ, in percent.
+    /// Maximum difference between the rates of two clocks, in percent.
     pub drift_percent: u32,
-    /// Length of the leader lease: the least election timeout.
+    /// Duration of the leader lease, equal to the minimum election timeout.
     pub leader_lease: Duration,
-    /// Protections in force.
+    /// Enabled guards.
     pub guards: Guards,
 }
 
-/// What happened.
+/// Event that the coordinator handles.
 #[derive(Clone, Debug)]
 pub enum CoordinatorInput<'a> {
-    /// Time has passed.
+    /// A timer event without other content, due at [`Coordinator::next_wake`](super::Coordinator::next_wake).
     Tick,
     /// A server answered a heartbeat.
     HeartbeatAnswered {
@@ -39,10 +39,10 @@
         server: ServerName,
         /// Its answer.
         answer: HeartbeatAnswer,
-        /// When the heartbeat was put out.
+        /// Time of the call that returned the heartbeat.
         sent_at: Duration,
     },
-    /// A heartbeat had no answer: the connection failed, or its time limit passed.
+    /// A heartbeat got no answer: the connection failed or the request timed out.
     HeartbeatFailed {
         /// The server.
         server: ServerName,
@@ -54,7 +54,7 @@
         /// Its answer.
         answer: GrantAnswer,
     },
-    /// A grant had no answer; it may have taken effect.
+    /// A grant got no answer; it may have taken effect.
     GrantFailed {
         /// The server.
         server: ServerName,
@@ -66,87 +66,87 @@
         /// Its answer.
         answer: ReleaseAnswer,
     },
-    /// A release had no answer; it may have taken effect.
+    /// A release got no answer; it may have taken effect.
     ReleaseFailed {
         /// The server.
         server: ServerName,
     },
-    /// A server listed what it holds.
+    /// A server answered with the list of shards that it holds.
     HoldingsAnswered {
         /// The server.
         server: ServerName,
         /// Its answer.
         answer: HoldingsAnswer,
     },
-    /// A question for holdings had no answer.
+    /// A holdings request got no answer.
     HoldingsFailed {
         /// The server.
         server: ServerName,
     },
-    /// A drain request was answered or failed; it is asked again while needed.
+    /// A drain request was answered or failed. It is repeated as long as it is needed.
     DrainDone {
         /// The server.
         server: ServerName,
     },
-    /// A router reported load.
+    /// A router sent a load report.
     LoadReported(&'a LoadReport),
-    /// The platform's list of machines, which lags.
+    /// The platform's list of machines, which is updated with a delay.
     Machines(&'a MachineList),
-    /// A command was applied; give every one, also those that others proposed.
+    /// A command was applied. Every applied command must be passed, whoever proposed it.
     Applied(&'a Applied),
-    /// A proposed command was refused by consensus and is surely not in the log.
+    /// A proposed command was refused by consensus and is certainly not in the log.
     ProposeFailed(&'a Command),
 }
 
-/// What to do. At most one request of each kind is under way for a server; each must be answered by
-/// its input, also when it fails.
+/// Request or proposal that the caller carries out. At most one request of each kind is in flight for a
+/// server, so the caller must report the result of each, also a failure, with the matching input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorOutput {
-    /// Send a heartbeat, and answer with `HeartbeatAnswered` or `HeartbeatFailed`.
+    /// Send a heartbeat; the result is reported with `HeartbeatAnswered` or `HeartbeatFailed`.
     Heartbeat {
         /// The server.
         server: ServerName,
-        /// Its address.
+        /// Address of the server.
         address: SocketAddress,
-        /// What to send.
+        /// Body of the request.
         request: HeartbeatRequest,
     },
-    /// Send grants, and answer with `GrantAnswered` or `GrantFailed`.
+    /// Send grants; the result is reported with `GrantAnswered` or `GrantFailed`.
     Grant {
         /// The server.
         server: ServerName,
-        /// Its address.
+        /// Address of the server.
         address: SocketAddress,
-        /// What to send.
+        /// Body of the request.
         request: GrantRequest,
     },
-    /// Ask for releases, and answer with `ReleaseAnswered` or `ReleaseFailed`.
+    /// Request releases; the result is reported with `ReleaseAnswered` or `ReleaseFailed`.
     Release {
         /// The server.
         server: ServerName,
-        /// Its address.
+        /// Address of the server.
         address: SocketAddress,
-        /// What to send.
+        /// Body of the request.
         request: ReleaseRequest,
     },
-    /// Ask what the server holds, and answer with `HoldingsAnswered` or `HoldingsFailed`.
+    /// Request the list of held shards; the result is reported with `HoldingsAnswered` or `HoldingsFailed`.
     Holdings {
         /// The server.
         server: ServerName,
-        /// Its address.
+        /// Address of the server.
         address: SocketAddress,
-        /// Group to ask for.
+        /// Control group whose shards are listed.
         group: GroupId,
     },
-    /// Tell the server to leave or stay, and answer with `DrainDone`.
+    /// Start or end draining on the server; the end of the request is reported with `DrainDone`.
     Drain {
         /// The server.
         server: ServerName,
-        /// Its address.
+        /// Address of the server.
         address: SocketAddress,
-        /// What to send.
+        /// Body of the request.
         request: DrainRequest,
     },
-    /// Propose a command to consensus; `ProposeFailed` if it is refused.
+    /// Propose a command to consensus; a refusal is reported with `ProposeFailed`.
     Propose(Command),
 }
--- a/crates/ownership/src/coordinator/view.rs
+++ b/crates/ownership/src/coordinator/view.rs
@@ -1,5 +1,5 @@
-//! One service as placement sees it: who may receive shards, what share each should own, and how many
-//! it will own once everything under way is done.
+//! Input of placement for one service: which servers can receive shards, their target shares, and their
+//! shard counts after all moves and assignments in progress.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 use super::Coordinator;
 use crate::state::{OwnershipState, ServerEntry, ServerIndex, ServiceState};
 
-/// One server of a service.
+/// One server of a service, as input of placement.
 #[derive(Clone, Debug)]
 pub(super) struct ServerView {
     pub index: ServerIndex,
-    /// May receive shards now.
+    /// Can receive shards now.
     pub eligible: bool,
-    /// Answers and has a lease.
+    /// Answers heartbeats, has a lease, and its boot number is registered.
     pub alive: bool,
-    /// Takes part in balance, even if the platform lists it as leaving.
+    /// Takes part in balancing. Unlike `eligible`, this ignores the platform's list of machines.
     pub settled: bool,
-    /// Gives up its shards at once.
-    pub leaving: bool,
-    /// Routers can't reach it, so it gives up its shards within the limits on churn.
+    /// Its shards are moved away at once, without regard to the limit on moves per minute.
+    pub draining: bool,
+    /// Routers can't reach it, so its shards are moved away within the churn limits.
     pub unreachable: bool,
-    pub silent: bool,
-    /// Share of the shards it should own, relative to the others; 0 unless it is eligible.
+    pub unresponsive: bool,
+    /// Target share of the shards, relative to the other servers; 0 unless it is eligible.
     pub weight: f64,
-    /// Shards it owns, with those on their way counted where they go.
+    /// Number of shards that it owns, with shards in progress counted at their next owner.
     pub count: usize,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl ServiceView {
-    /// Receivers of shards, the least loaded first.
+    /// Servers that can receive shards, the least loaded first.
     pub fn receivers(&self, load: &Load) -> LeastLoaded {
         let weights = self.servers.iter().map(|server| server.weight).collect();
         let counts = self.servers.iter().map(|server| server.count).collect();
@@ -51,22 +51,23 @@
         servers.any(|server| server.index == index && server.weight > 0.0)
     }
 
-    /// Whether a server can take back a shard that nobody else can receive.
+    /// Whether a server can keep a released shard that no other server can receive.
     pub fn is_alive(&self, index: ServerIndex) -> bool {
         let mut servers = self.servers.iter();
         servers.any(|server| server.index == index && server.alive)
     }
 
-    /// Whether some server that is to stay owns shards and may be about to lose them or to return.
+    /// Whether a server that isn't draining owns shards without being available: it may lose them or become
+    /// available again.
     pub fn is_in_flux(&self) -> bool {
         let mut servers = self.servers.iter();
-        servers.any(|server| !server.alive && !server.leaving && server.count > 0)
+        servers.any(|server| !server.alive && !server.draining && server.count > 0)
     }
 
-    /// Whether every server in use may receive shards.
+    /// Whether every server that isn't draining can receive shards.
     pub fn all_ready(&self) -> bool {
         let mut servers = self.servers.iter();
-        servers.all(|server| server.eligible || server.leaving)
+        servers.all(|server| server.eligible || server.draining)
     }
 }
 
@@ -84,14 +85,14 @@
                 .map(|&index| self.server_view(now, state, index))
                 .collect(),
         };
-        self.prefer_trusted(state, &mut view);
+        self.prefer_running_machines(state, &mut view);
         set_weights(service, &mut view);
-        self.count_under_way(state, name, service, &mut view);
+        self.count_in_progress(state, name, service, &mut view);
         view
     }
 
-    /// Shards that move or are to be assigned, each with its next owner.
-    pub(super) fn under_way<'a>(
+    /// Shards that are being moved or assigned, each with its next owner.
+    pub(super) fn in_progress<'a>(
         &'a self,
         name: &'a ServiceName,
     ) -> impl Iterator<Item = (ShardId, Option<ServerIndex>)> + 'a {
@@ -101,7 +102,7 @@
         moving.chain(proposed.filter(|(shard, _)| !self.moves.contains(name, *shard)))
     }
 
-    /// Whether a server may receive shards now.
+    /// Whether a server can receive shards now.
     pub(super) fn can_receive(
         &self,
         now: Duration,
@@ -114,47 +115,48 @@
     fn server_view(&self, now: Duration, state: &OwnershipState, index: ServerIndex) -> ServerView {
         let entry = state.servers().get(index);
         let link = self.links.get(&index);
-        let alive = link.is_some_and(|link| is_able(link, entry));
-        let leaving = entry.effective_standing() != ServerStanding::Active
-            || link.is_some_and(|link| link.wishes_to_leave);
+        let alive = link.is_some_and(|link| is_available(link, entry));
+        let draining = entry.effective_standing() != ServerStanding::Active
+            || link.is_some_and(|link| link.reports_draining);
         let reachable = link.is_some_and(|link| link.unreachable_until <= now);
         ServerView {
             index,
-            eligible: alive && !leaving && reachable,
+            eligible: alive && !draining && reachable,
             alive,
-            settled: alive && !leaving && reachable,
-            leaving,
-            unreachable: alive && !leaving && !reachable,
-            silent: link.is_some_and(|link| link.is_silent(now, self.config.lease)),
+            settled: alive && !draining && reachable,
+            draining,
+            unreachable: alive && !draining && !reachable,
+            unresponsive: link.is_some_and(|link| link.is_unresponsive(now, self.config.lease)),
             weight: 0.0,
             count: entry.owned.len(),
         }
     }
 
-    /// Servers that the platform lists as leaving or gone receive shards only if nobody else can.
-    fn prefer_trusted(&self, state: &OwnershipState, view: &mut ServiceView) {
-        let distrusted = |server: &ServerView| {
+    /// Servers that the platform lists as leaving or gone are eligible only if no other server is.
+    fn prefer_running_machines(&self, state: &OwnershipState, view: &mut ServiceView) {
+        let listed_as_leaving = |server: &ServerView| {
             let link = self.links.get(&server.index);
             let machine = link.and_then(|link| link.machine);
             matches!(machine, Some(MachineState::Leaving | MachineState::Gone))
         };
         let mut servers = view.servers.iter();
-        let someone = servers
-            .any(|server| server.eligible && !distrusted(server) && has_share(state, server.index));
-        for server in view.servers.iter_mut().filter(|_| someone) {
-            server.eligible &= !distrusted(server);
+        let has_preferred = servers.any(|server| {
+            server.eligible && !listed_as_leaving(server) && has_share(state, server.index)
+        });
+        for server in view.servers.iter_mut().filter(|_| has_preferred) {
+            server.eligible &= !listed_as_leaving(server);
         }
     }
 
-    /// Counts shards under way where they go.
-    fn count_under_way(
+    /// Counts shards in progress at their next owner.
+    fn count_in_progress(
         &self,
         state: &OwnershipState,
         name: &ServiceName,
         service: &ServiceState,
         view: &mut ServiceView,
     ) {
-        for (shard, to) in self.under_way(name) {
+        for (shard, to) in self.in_progress(name) {
             let owner = service.shard(shard).and_then(|shard| shard.owner);
             let from = owner.and_then(|owner| position_of(state, name, owner));
             if let Some(from) = from.and_then(|from| view.servers.get_mut(from)) {
@@ -168,7 +170,7 @@
     }
 }
 
-/// Position of a server in its service, if it still belongs to it.
+/// Position of a server in a service; `None` if it doesn't belong to it.
 pub(super) fn position_of(
     state: &OwnershipState,
     service: &ServiceName,
@@ -178,12 +180,12 @@
     (entry.service == *service).then_some(entry.position as usize)
 }
 
-/// Whether a server answers, has a lease, and has its start registered.
-fn is_able(link: &ServerLink, entry: &ServerEntry) -> bool {
+/// Whether a server answers heartbeats, has a lease, and its boot number is registered.
+fn is_available(link: &ServerLink, entry: &ServerEntry) -> bool {
     link.leased && link.failures == 0 && link.boot == entry.boot
 }
 
-/// Whether the bundle gives a server's side any share.
+/// Whether the bundle gives a server's side a share above 0.
 fn has_share(state: &OwnershipState, server: ServerIndex) -> bool {
     let entry = state.servers().get(server);
     let service = state.services().get(&entry.service);
@@ -194,7 +196,7 @@
     shares.any(|share| share.share > 0)
 }
 
-/// Weights follow the sides' shares.
+/// Sets the weights according to the sides' shares.
 fn set_weights(service: &ServiceState, view: &mut ServiceView) {
     let eligible: Vec<bool> = view.servers.iter().map(|server| server.eligible).collect();
     let weights = weights(service, &eligible);
@@ -203,7 +205,7 @@
     }
 }
 
-/// Weight of each server that may receive; removed servers stand behind the bundle's and weigh nothing.
+/// Weight of each server that can receive shards; removed servers follow the bundle's and have weight 0.
 pub(super) fn weights(service: &ServiceState, eligible: &[bool]) -> Vec<f64> {
     let listed = &service.service;
     let mut weights = targets(&listed.sides, &listed.servers, eligible);
--- a/crates/ownership/src/guards.rs
+++ b/crates/ownership/src/guards.rs
@@ -1,17 +1,18 @@
-//! Protections that a simulation may take out, one at a time, to show that its checks notice.
+//! Guards that a simulation can disable, one at a time, to show that its checks detect the violation.
 //!
-//! Invariant: without the feature `removable-guards` every protection is in force.
+//! Invariant: without the feature `removable-guards` every guard is enabled.
 
-/// One protection of this crate.
+/// One safety check of this crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// Bundles follow their parent, and assignments name the epoch they expect.
+    /// A bundle is accepted only if its parent is the bundle in force, and an assignment only at the
+    /// epoch that it expects.
     CompareAndSet,
-    /// Shards of a silent server are taken only after the end of any lease it may hold.
+    /// Shards of an unresponsive server are reassigned only after any lease it may hold has ended.
     FencingBound,
 }
 
-/// Which protections are in force.
+/// Set of enabled guards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     compare_and_set: bool,
@@ -19,7 +20,7 @@
 }
 
 impl Guards {
-    /// Every protection.
+    /// All guards enabled.
     pub fn all() -> Self {
         Self {
             compare_and_set: true,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Every protection but one.
+    /// All guards enabled except `guard`.
     #[cfg(feature = "removable-guards")]
     pub fn without(guard: Guard) -> Self {
         let mut guards = Self::all();
@@ -38,8 +39,7 @@
         guards
     }
 
-    /// Whether a protection is in force.
-    pub(crate) fn has(self, guard: Guard) -> bool {
+    pub(crate) fn is_enabled(self, guard: Guard) -> bool {
         match guard {
             Guard::CompareAndSet => self.compare_and_set,
             Guard::FencingBound => self.fencing_bound,
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Who owns each shard: the replicated ownership state, and the leader's coordinator that renews
+//! Ownership of shards: the replicated ownership state, and the leader's coordinator, which renews
 //! leases, grants shards and moves them.
 //!
 //! Invariant: no shard is granted to a server before its assignment is committed, and no shard is
--- a/crates/ownership/src/plan.rs
+++ b/crates/ownership/src/plan.rs
@@ -1,4 +1,4 @@
-//! What rolling a bundle would move, worked out without rolling it.
+//! Dry run of a bundle: computes which shards it would move, without applying it.
 
 use std::time::Duration;
 
@@ -9,46 +9,46 @@
 
 use crate::state::OwnershipState;
 
-/// What a bundle would change.
+/// Changes that a bundle would cause.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// One for each service, present or to come.
+    /// One entry for each service in force or in the new bundle.
     pub services: Vec<ServicePlan>,
 }
 
-/// What a bundle would change of one service.
+/// Changes that a bundle would cause in one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServicePlan {
     /// The service.
     pub service: ServiceName,
     /// Shards that would change owner.
     pub moves: u32,
-    /// Time that the moves take within the limits on churn; `None` when the limits allow none.
+    /// Least time for the moves under the churn limits; `None` if the limits allow no moves.
     pub at_least: Option<Duration>,
-    /// Highest count of shards over its aim, across servers, before: 1.0 is even.
+    /// Highest ratio of a server's shard count to its target, before the change; 1.0 is balanced.
     pub imbalance_before: f64,
-    /// The same after.
+    /// The same ratio after the change.
     pub imbalance_after: f64,
-    /// Servers before and after.
+    /// Shard counts by server, before and after the change.
     pub servers: Vec<ServerPlan>,
-    /// What to look at before rolling.
+    /// Risks to review before the bundle is submitted.
     pub risks: Vec<PlanRisk>,
 }
 
-/// Shards of one server before and after.
+/// Shard counts of one server before and after the change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerPlan {
     /// The server.
     pub server: ServerName,
-    /// Its side.
+    /// The server's side.
     pub side: SideName,
-    /// Shards it owns now.
+    /// Number of shards that it owns now.
     pub before: u32,
-    /// Shards it would own.
+    /// Number of shards that it would own.
     pub after: u32,
 }
 
-/// Something an operator should look at before rolling a bundle.
+/// Risk that an operator should review before a bundle is submitted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlanRisk {
     /// The bundle removes a server that owns shards.
@@ -56,7 +56,7 @@
     RemovesOwner {
         /// The server.
         server: ServerName,
-        /// Shards it owns.
+        /// Number of shards that it owns.
         shards: u32,
     },
     /// The bundle removes a service.
@@ -65,21 +65,21 @@
         /// The service.
         service: ServiceName,
     },
-    /// A server's address changes, so that its shards stop for a lease.
+    /// A server's address changes, so its shards are unavailable for the duration of a lease.
     #[error("server {} changes its address while it owns {shards} shards", server.as_str())]
     ChangesAddress {
         /// The server.
         server: ServerName,
-        /// Shards it owns.
+        /// Number of shards that it owns.
         shards: u32,
     },
-    /// No server of the service may receive shards.
+    /// No server of the service is eligible to receive shards.
     #[error("no server of service {} may receive shards", service.as_str())]
     NoReceiver {
         /// The service.
         service: ServiceName,
     },
-    /// The limits on churn allow no planned move.
+    /// The churn limits allow no planned moves.
     #[error("the churn limits of service {} allow no move", service.as_str())]
     MovesForbidden {
         /// The service.
@@ -87,12 +87,12 @@
     },
 }
 
-/// What rolling `bundle` would move, given the state in force.
+/// Computes the changes that `bundle` would cause to the replicated state.
 pub fn plan_bundle(state: &OwnershipState, bundle: &Bundle) -> Plan {
     plan_table(&state.table().table, bundle)
 }
 
-/// What rolling `bundle` would move, given the routing table in force, if every server is up.
+/// Computes the changes that `bundle` would cause to a routing table, assuming that every server is up.
 pub fn plan_table(table: &Table, bundle: &Bundle) -> Plan {
     let listed = bundle.services.iter();
     let mut services: Vec<ServicePlan> = listed
@@ -118,12 +118,12 @@
     let after = owners_after(next, &before, &weights);
     let pairs = before.iter().zip(&after);
     let moves = pairs
-        .filter(|(before, after)| **before != Owner::Nobody && before.server() != **after)
+        .filter(|(before, after)| **before != Owner::Unowned && before.server() != **after)
         .count() as u32;
     let mut plan = ServicePlan {
         service: next.name.clone(),
         moves,
-        at_least: time_of(moves, next.churn.moves_per_minute),
+        at_least: time_for_moves(moves, next.churn.moves_per_minute),
         imbalance_before: known.map_or(1.0, imbalance_of_table),
         imbalance_after: imbalance(&counts(&after, next.servers.len()), &weights),
         servers: server_plans(known, next, &after),
@@ -133,13 +133,13 @@
     plan
 }
 
-/// Who owns a shard now, as seen from the next bundle.
+/// Current owner of a shard, with respect to the next bundle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Owner {
-    Nobody,
-    /// A server that the next bundle doesn't list, or that may receive nothing.
-    Leaving,
-    /// Position in the next bundle's servers.
+    Unowned,
+    /// A server that the next bundle doesn't list, or that is not eligible to receive shards.
+    Ineligible,
+    /// Position in the next bundle's list of servers.
     Listed(usize),
 }
 
@@ -147,15 +147,15 @@
     fn server(self) -> Option<usize> {
         match self {
             Self::Listed(server) => Some(server),
-            Self::Nobody | Self::Leaving => None,
+            Self::Unowned | Self::Ineligible => None,
         }
     }
 }
 
 fn owners_before(known: Option<&ServiceTable>, next: &Service) -> Vec<Owner> {
-    let nobody = vec![Owner::Nobody; next.shards.get() as usize];
+    let unowned = vec![Owner::Unowned; next.shards.get() as usize];
     let Some(known) = known else {
-        return nobody;
+        return unowned;
     };
     let position_in_next = |server: &Server| {
         let mut servers = next.servers.iter();
@@ -165,20 +165,20 @@
     let owners_of: Vec<Owner> = known_servers
         .map(|(server, standing)| match position_in_next(server) {
             Some(position) if *standing == ServerStanding::Active => Owner::Listed(position),
-            _ => Owner::Leaving,
+            _ => Owner::Ineligible,
         })
         .collect();
-    let mut owners = nobody;
+    let mut owners = unowned;
     for (owner, shard) in owners.iter_mut().zip(&known.owners) {
         let server = shard
             .server
             .and_then(|server| owners_of.get(server as usize));
-        *owner = server.copied().unwrap_or(Owner::Nobody);
+        *owner = server.copied().unwrap_or(Owner::Unowned);
     }
     owners
 }
 
-/// A server that drains keeps its standing over a roll.
+/// A server keeps its standing when a new bundle is accepted, so a draining one stays ineligible.
 fn may_receive(known: Option<&ServiceTable>, next: &Service) -> Vec<bool> {
     let standing = |name: &ServerName| {
         let known = known?;
@@ -260,7 +260,7 @@
     imbalance(&counts_of_table(known), &weights)
 }
 
-/// Highest count over its share; 1 when nothing is owned.
+/// Highest ratio of a server's count to its share of all shards; 1 if no shard is owned.
 fn imbalance(counts: &[u32], weights: &[f64]) -> f64 {
     let weighed = || {
         counts
@@ -279,7 +279,7 @@
         .fold(0.0, f64::max)
 }
 
-fn time_of(moves: u32, moves_per_minute: u32) -> Option<Duration> {
+fn time_for_moves(moves: u32, moves_per_minute: u32) -> Option<Duration> {
     match (moves, moves_per_minute) {
         (0, _) => Some(Duration::ZERO),
         (_, 0) => None,
@@ -287,7 +287,7 @@
     }
 }
 
-/// The next bundle's servers, then those that it removes.
+/// The next bundle's servers, followed by those that it removes.
 fn server_plans(
     known: Option<&ServiceTable>,
     next: &Service,
@@ -346,7 +346,7 @@
             });
         }
     }
-    for server in moved_servers(known, next) {
+    for server in readdressed_servers(known, next) {
         let shards = owned_before(known, &server.name);
         if shards > 0 {
             risks.push(PlanRisk::ChangesAddress {
@@ -369,7 +369,7 @@
 }
 
 /// Servers whose address changes.
-fn moved_servers<'a>(
+fn readdressed_servers<'a>(
     known: Option<&'a ServiceTable>,
     next: &'a Service,
 ) -> impl Iterator<Item = &'a Server> {
--- a/crates/ownership/src/state/assign.rs
+++ b/crates/ownership/src/state/assign.rs
@@ -1,4 +1,4 @@
-//! Assignments of shards: compare-and-set on the epoch, one by one.
+//! Assignments of shards, each with a compare-and-set on the shard's epoch.
 
 use grebepin_schema::{
     AssignShards, Assignment, Epoch, LogIndex, ServerStanding, ServiceName, ShardId,
@@ -18,8 +18,8 @@
         for assignment in &batch.assignments {
             match self.assign_one(index, assignment) {
                 Ok(applied) => {
-                    changes.note_shard(&applied.service, applied.shard);
-                    self.note_emptied(&applied, &mut changes);
+                    changes.add_shard(&applied.service, applied.shard);
+                    self.add_emptied_server(&applied, &mut changes);
                     assigned.accepted.push(applied);
                 }
                 Err(reason) => assigned.refused.push(RefusedAssignment {
@@ -29,7 +29,7 @@
                 }),
             }
         }
-        self.note_changes(changes);
+        self.record_changes(changes);
         assigned
     }
 
@@ -68,7 +68,7 @@
             .shard(assignment.shard)
             .ok_or(AssignmentRefusal::UnknownShard)?;
         let as_expected = shard.epoch == assignment.expected_epoch;
-        if !as_expected && self.guards.has(Guard::CompareAndSet) {
+        if !as_expected && self.guards.is_enabled(Guard::CompareAndSet) {
             return Err(AssignmentRefusal::EpochMismatch {
                 current: shard.epoch,
             });
@@ -88,7 +88,7 @@
         Ok(Some(next))
     }
 
-    /// Makes `next` the owner of an existing shard and returns the owner until now.
+    /// Makes `next` the owner of an existing shard and returns the former owner.
     pub(super) fn set_owner(
         &mut self,
         service: &ServiceName,
@@ -101,13 +101,13 @@
         let state = &mut service.shards[shard.0 as usize];
         let last = state.owner;
         if let Some(server) = last {
-            let forgotten = state.previous.replace(Previous {
+            let replaced = state.previous.replace(Previous {
                 server,
                 epoch: state.epoch,
                 released,
             });
-            if let Some(forgotten) = forgotten {
-                self.servers.get_mut(forgotten.server).previous_of -= 1;
+            if let Some(replaced) = replaced {
+                self.servers.get_mut(replaced.server).previous_of -= 1;
             }
             let entry = self.servers.get_mut(server);
             entry.remove(shard, state.epoch);
@@ -127,8 +127,8 @@
         last
     }
 
-    /// A removed server that lost its last shard is no longer in use.
-    fn note_emptied(&self, applied: &AppliedAssignment, changes: &mut EntryChanges) {
+    /// Records the change of standing of a removed server that lost its last shard.
+    fn add_emptied_server(&self, applied: &AppliedAssignment, changes: &mut EntryChanges) {
         let last = applied.previous.as_ref();
         let Some((index, entry)) = last.and_then(|name| self.servers.by_name(name)) else {
             return;
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Keeps the changes of one entry for deltas, and moves the table's index on.
-    pub(super) fn note_changes(&mut self, changes: EntryChanges) {
+    /// Stores the changes of one entry for deltas and advances the table's index.
+    pub(super) fn record_changes(&mut self, changes: EntryChanges) {
         if changes.is_empty() {
             return;
         }
--- a/crates/ownership/src/state/bundle.rs
+++ b/crates/ownership/src/state/bundle.rs
@@ -1,7 +1,7 @@
-//! Acceptance of bundles: compare-and-set on the parent's digest.
+//! Acceptance of bundles, with a compare-and-set on the parent's digest.
 //!
 //! Invariant: the version in force only grows, each version is accepted with one digest, and a resend
-//! of an accepted bundle gets the first answer again.
+//! of an accepted bundle gets the same record as the first submission.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
 use crate::applied::{BundleOutcome, BundleRefusal};
 use crate::guards::Guard;
 
-/// Accepted bundles remembered, so that a late resend still gets its first answer.
+/// Records of accepted bundles kept, so that a late resend still gets the same answer.
 const ACCEPTED_KEPT: usize = 1_024;
 
 impl OwnershipState {
@@ -56,8 +56,11 @@
         }
     }
 
-    /// Whether a bundle could be accepted now: `Ok(None)` when it could, `Ok(Some(_))` when it was
-    /// accepted before, and the refusal otherwise. Signatures are not looked at.
+    /// Checks whether a bundle can be accepted now: `Ok(None)` if it can, `Ok(Some(_))` if it was
+    /// accepted before. Signatures are not checked.
+    ///
+    /// # Errors
+    /// The reason why the bundle would be refused.
     pub fn check_bundle(
         &self,
         bundle: &Bundle,
@@ -74,7 +77,7 @@
 
     fn check_succession(&self, bundle: &Bundle) -> Result<(), BundleRefusal> {
         let in_force = self.bundle_record();
-        if !self.guards.has(Guard::CompareAndSet) {
+        if !self.guards.is_enabled(Guard::CompareAndSet) {
             return Ok(());
         }
         let version = bundle.version;
@@ -138,7 +141,7 @@
         }
     }
 
-    /// A server changes its service only once no shard of the old one refers to it.
+    /// A server can change its service only when no shard of the old service refers to it.
     fn check_server(&self, name: &ServerName, service: &ServiceName) -> Result<(), BundleRefusal> {
         let Some((_, entry)) = self.servers.by_name(name) else {
             return Ok(());
@@ -157,8 +160,8 @@
         for service in self.services.values_mut() {
             service.removed = true;
         }
-        let everyone: Vec<_> = self.servers.iter().map(|(index, _)| index).collect();
-        let was_removed: BTreeMap<ServerIndex, bool> = everyone
+        let indexes: Vec<_> = self.servers.iter().map(|(index, _)| index).collect();
+        let was_removed: BTreeMap<ServerIndex, bool> = indexes
             .into_iter()
             .map(|index| {
                 let entry = self.servers.get_mut(index);
@@ -169,8 +172,8 @@
             self.install_service(service, &was_removed);
         }
         self.drop_removed_services();
-        self.servers.forget_unreferenced();
-        self.retain_owners();
+        self.servers.free_unreferenced();
+        self.append_removed_owners();
     }
 
     fn install_service(&mut self, service: &Service, was_removed: &BTreeMap<ServerIndex, bool>) {
@@ -203,7 +206,7 @@
         state.servers = listed;
     }
 
-    /// Drops services that left the bundle once none of their shards has an owner.
+    /// Drops services removed from the bundle whose shards all have no owner.
     fn drop_removed_services(&mut self) {
         let servers = &mut self.servers;
         self.services.retain(|_, service| {
@@ -217,13 +220,13 @@
         });
     }
 
-    /// Lists removed servers that still own shards behind the bundle's servers.
-    fn retain_owners(&mut self) {
+    /// Appends removed servers that still own shards to the bundle's servers.
+    fn append_removed_owners(&mut self) {
         for service in self.services.values_mut().filter(|service| service.removed) {
             service.servers.clear();
         }
-        let everyone: Vec<_> = self.servers.iter().map(|(index, _)| index).collect();
-        for index in everyone {
+        let indexes: Vec<_> = self.servers.iter().map(|(index, _)| index).collect();
+        for index in indexes {
             let entry = self.servers.get_mut(index);
             if !entry.removed || entry.owned.is_empty() {
                 continue;
--- a/crates/ownership/src/state/changes.rs
+++ b/crates/ownership/src/state/changes.rs
@@ -1,6 +1,6 @@
-//! Recent changes of the routing table, kept to answer routers with deltas.
+//! Recent changes of the routing table, kept so that routers can get deltas.
 //!
-//! Invariant: every change after `floor` is kept, and no more than [`CHANGES_KEPT`] shards are.
+//! Invariant: every change after `floor` is kept, and at most [`MAXIMUM_CHANGES`] changes in total.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,8 +8,8 @@
 
 use super::servers::ServerIndex;
 
-/// Changed shards kept at most; a router further behind gets the whole table.
-const CHANGES_KEPT: usize = 65_536;
+/// Most changes of shards and standings kept; a router further behind gets the whole table.
+const MAXIMUM_CHANGES: usize = 65_536;
 
 /// Changes of one log entry.
 #[derive(Clone, Debug, Default)]
@@ -27,7 +27,7 @@
         }
     }
 
-    pub fn note_shard(&mut self, service: &ServiceName, shard: ShardId) {
+    pub fn add_shard(&mut self, service: &ServiceName, shard: ShardId) {
         match self.shards.get_mut(service) {
             Some(shards) => shards.push(shard),
             None => {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Changed shards and servers since an index.
+/// Shards and servers that changed after an index.
 #[derive(Debug, Default)]
 pub(crate) struct Changed {
     pub shards: BTreeMap<ServiceName, BTreeSet<ShardId>>,
@@ -57,12 +57,13 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Changes {
     entries: VecDeque<EntryChanges>,
+    /// Total size of `entries`, in changes.
     kept: usize,
     floor: LogIndex,
 }
 
 impl Changes {
-    /// Forgets everything up to `index`: the table changed as a whole there.
+    /// Discards all changes up to `index`, at which the whole table changed.
     pub fn reset(&mut self, index: LogIndex) {
         self.entries.clear();
         self.kept = 0;
@@ -72,7 +73,7 @@
     pub fn push(&mut self, changes: EntryChanges) {
         self.kept += changes.size();
         self.entries.push_back(changes);
-        while self.kept > CHANGES_KEPT {
+        while self.kept > MAXIMUM_CHANGES {
             let Some(oldest) = self.entries.pop_front() else {
                 return;
             };
@@ -81,7 +82,7 @@
         }
     }
 
-    /// What changed after `previous`; `None` when that is no longer known.
+    /// Changes after `previous`; `None` if they are no longer all kept.
     pub fn since(&self, previous: LogIndex) -> Option<Changed> {
         if previous < self.floor {
             return None;
--- a/crates/ownership/src/state/mod.rs
+++ b/crates/ownership/src/state/mod.rs
@@ -45,19 +45,19 @@
 /// Owner of one shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Owner<'a> {
-    /// Epoch of the ownership; 0 before the first.
+    /// Epoch of the ownership; 0 before the first assignment.
     pub epoch: Epoch,
-    /// Owning server, if any.
+    /// Owning server; `None` if the shard has no owner.
     pub server: Option<&'a ServerName>,
 }
 
 impl OwnershipState {
-    /// The empty state of a group, with every protection in force.
+    /// The empty state of a group, with all guards enabled.
     pub fn new(group: GroupId) -> Self {
         Self::with_guards(group, Guards::all())
     }
 
-    /// The empty state of a group with the stated protections.
+    /// The empty state of a group with the given guards.
     pub fn with_guards(group: GroupId, guards: Guards) -> Self {
         Self {
             group,
@@ -84,12 +84,12 @@
         Applied { index, outcome }
     }
 
-    /// Notes that an entry without a command was applied.
+    /// Records that the entry at `index`, which contains no command, was applied.
     pub fn skip(&mut self, index: LogIndex) {
         self.applied = index;
     }
 
-    /// The control group.
+    /// The control group that replicates this state.
     pub fn group(&self) -> GroupId {
         self.group
     }
@@ -99,17 +99,17 @@
         self.applied
     }
 
-    /// Index of the last entry that changed the routing table; 0 for none.
+    /// Index of the last entry that changed the routing table; 0 if none did.
     pub fn table_index(&self) -> LogIndex {
         self.table_index
     }
 
-    /// The bundle in force with its sign-offs.
+    /// The bundle in force with its sign-offs; `None` before the first.
     pub fn bundle(&self) -> Option<&SignedBundle> {
         self.bundle.as_ref().map(|accepted| &accepted.signed)
     }
 
-    /// Version, digest and index of the bundle in force.
+    /// Version, digest and log index of the bundle in force; `None` before the first.
     pub fn bundle_record(&self) -> Option<&BundleRecord> {
         self.bundle.as_ref().map(|accepted| &accepted.record)
     }
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Count of shards that no server owns, over all services of the bundle in force.
+    /// Number of shards without an owner, over all services of the bundle in force.
     pub fn unowned_shards(&self) -> u64 {
         let live = self.services.values().filter(|service| !service.removed);
         live.map(|service| service.unowned.len() as u64).sum()
--- a/crates/ownership/src/state/servers.rs
+++ b/crates/ownership/src/state/servers.rs
@@ -1,4 +1,4 @@
-//! Servers known to the replicated state, by slot.
+//! Servers in the replicated state, by slot.
 //!
 //! Invariant: a server keeps its slot while the bundle lists it, while it owns a shard and while it is
 //! the previous owner of one; count and checksum of its shards always match its set of shards.
@@ -10,7 +10,7 @@
     Epoch, Server, ServerName, ServerStanding, ServiceName, ShardId, StandingOrigin,
 };
 
-/// Slot of a server.
+/// Index of a server's slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ServerIndex(pub u32);
 
@@ -28,7 +28,7 @@
     pub owned: BTreeSet<ShardId>,
     /// Sum, modulo 2^64, of the hashes of the owned shards.
     pub checksum: u64,
-    /// Shards whose previous owner this server is.
+    /// Number of shards whose previous owner is this server.
     pub previous_of: u32,
 }
 
@@ -48,7 +48,8 @@
         }
     }
 
-    /// What routers are told: a server that left the bundle drains until its shards have moved.
+    /// The standing in the routing table: a server removed from the bundle drains until its shards
+    /// have moved.
     pub fn effective_standing(&self) -> ServerStanding {
         match (self.removed, self.owned.is_empty()) {
             (false, _) => self.standing,
@@ -82,8 +83,8 @@
 impl Servers {
     /// Rebuilds the list from its slots.
     pub fn from_slots(slots: Vec<Option<ServerEntry>>) -> Self {
-        let taken = slots.iter().enumerate();
-        let names = taken
+        let occupied = slots.iter().enumerate();
+        let names = occupied
             .filter_map(|(slot, entry)| {
                 let entry = entry.as_ref()?;
                 Some((entry.server.name.clone(), ServerIndex(slot as u32)))
@@ -100,14 +101,14 @@
         self.names.get(name).copied()
     }
 
-    /// The server in a slot that is known to be taken.
+    /// The server in a slot that is known to be occupied.
     pub fn get(&self, index: ServerIndex) -> &ServerEntry {
         self.slots[index.0 as usize]
             .as_ref()
-            .expect("an index in the state names a taken slot")
+            .expect("an index in the state refers to an occupied slot")
     }
 
-    /// The server in a slot that may be free by now.
+    /// The server in a slot; `None` if the slot is free.
     pub fn try_get(&self, index: ServerIndex) -> Option<&ServerEntry> {
         self.slots.get(index.0 as usize)?.as_ref()
     }
@@ -115,7 +116,7 @@
     pub fn get_mut(&mut self, index: ServerIndex) -> &mut ServerEntry {
         self.slots[index.0 as usize]
             .as_mut()
-            .expect("an index in the state names a taken slot")
+            .expect("an index in the state refers to an occupied slot")
     }
 
     pub fn by_name(&self, name: &ServerName) -> Option<(ServerIndex, &ServerEntry)> {
@@ -124,11 +125,11 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (ServerIndex, &ServerEntry)> {
-        let taken = self.slots.iter().enumerate();
-        taken.filter_map(|(slot, entry)| Some((ServerIndex(slot as u32), entry.as_ref()?)))
+        let occupied = self.slots.iter().enumerate();
+        occupied.filter_map(|(slot, entry)| Some((ServerIndex(slot as u32), entry.as_ref()?)))
     }
 
-    /// Puts a server into the lowest free slot.
+    /// Inserts a server in the lowest free slot, which is the same on every replica.
     pub fn insert(&mut self, entry: ServerEntry) -> ServerIndex {
         let name = entry.server.name.clone();
         let free = self.slots.iter().position(Option::is_none);
@@ -142,8 +143,8 @@
         index
     }
 
-    /// Forgets removed servers that no shard refers to.
-    pub fn forget_unreferenced(&mut self) {
+    /// Frees the slots of removed servers that no shard refers to.
+    pub fn free_unreferenced(&mut self) {
         for slot in &mut self.slots {
             let unused = |entry: &mut ServerEntry| {
                 entry.removed && entry.owned.is_empty() && entry.previous_of == 0
--- a/crates/ownership/src/state/services.rs
+++ b/crates/ownership/src/state/services.rs
@@ -8,12 +8,12 @@
 
 use super::servers::ServerIndex;
 
-/// Who owned a shard before its present owner.
+/// Owner of a shard before its current owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Previous {
     pub server: ServerIndex,
     pub epoch: Epoch,
-    /// Whether it released the shard, so that its record of requests is whole.
+    /// Whether it released the shard, so that its request record is complete.
     pub released: bool,
 }
 
@@ -30,7 +30,7 @@
 pub(crate) struct ServiceState {
     pub service: Service,
     pub removed: bool,
-    /// Servers in the bundle's order, then removed ones that still own shards.
+    /// Servers in the bundle's order, followed by removed ones that still own shards.
     pub servers: Vec<ServerIndex>,
     pub shards: Vec<ShardState>,
     pub unowned: BTreeSet<ShardId>,
--- a/crates/ownership/src/state/snapshot.rs
+++ b/crates/ownership/src/state/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots of the replicated state: a header frame, then frames of shards as columns, each under the
-//! limit on frames whatever the count of shards.
+//! Snapshots of the replicated state: a header frame, followed by frames with columns of shards. Frames
+//! have a bounded number of shards, so that none exceeds the limit on the size of a frame.
 
 use std::collections::BTreeMap;
 use std::io::Cursor;
@@ -14,31 +14,31 @@
 use super::services::{Previous, ServiceState, ShardState};
 use super::{Changes, OwnershipState};
 
-/// Shards in one frame of a snapshot.
+/// Most shards in one frame of a snapshot.
 const SHARDS_PER_CHUNK: usize = 65_536;
 
-/// Why a snapshot was not restored.
+/// Error in a snapshot that was not restored.
 #[derive(Debug, thiserror::Error)]
 pub enum RestoreError {
-    /// A frame is cut short or does not decode.
+    /// A frame is truncated or does not decode.
     #[error("snapshot frame does not decode: {0}")]
     Frame(#[from] FrameError),
-    /// The snapshot belongs to another group.
+    /// The snapshot belongs to another control group.
     #[error("snapshot of group {}", found.0)]
     OtherGroup {
         /// Group of the snapshot.
         found: GroupId,
     },
-    /// Frames contradict one another.
+    /// The frames are inconsistent with each other.
     #[error("snapshot of service {} is inconsistent", service.as_str())]
     Inconsistent {
-        /// Service whose frames are wrong.
+        /// Service whose frames are inconsistent.
         service: ServiceName,
     },
 }
 
 impl OwnershipState {
-    /// The whole state as bytes; equal states give equal bytes.
+    /// Encodes the whole state; equal states give equal bytes.
     pub fn snapshot(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         write(&mut bytes, &self.header());
@@ -51,7 +51,10 @@
         bytes
     }
 
-    /// Replaces the state by that of a snapshot; unchanged on an error.
+    /// Replaces the state by that of a snapshot.
+    ///
+    /// # Errors
+    /// The snapshot is damaged or belongs to another group; the state is then unchanged.
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), RestoreError> {
         let mut reader = Cursor::new(bytes);
         let header: OwnershipHeader = read_frame(&mut reader)?;
@@ -124,7 +127,7 @@
         Ok(())
     }
 
-    /// Fills the next shards of a service; `filled` counts those that earlier frames gave.
+    /// Restores the next shards of a service; `filled` counts those restored from earlier frames.
     fn restore_chunk(
         &mut self,
         chunk: &OwnershipChunk,
@@ -171,7 +174,7 @@
         Ok(())
     }
 
-    /// Reads one row of the columns; `None` when it names something that isn't there.
+    /// Reads one row of the columns; `None` if it refers to a shard or server that doesn't exist.
     fn shard_of_chunk(
         &self,
         chunk: &OwnershipChunk,
@@ -194,7 +197,7 @@
         })
     }
 
-    /// Outer `None`: no such slot. Inner `None`: the column states none.
+    /// The slot in a column. The outer `None` is an invalid slot, the inner `None` stands for no server.
     fn slot_of_column(&self, column: u32) -> Option<Option<ServerIndex>> {
         let Some(slot) = column.checked_sub(1) else {
             return Some(None);
--- a/crates/ownership/src/state/standing.rs
+++ b/crates/ownership/src/state/standing.rs
@@ -1,4 +1,4 @@
-//! Standings of servers and registrations of their starts.
+//! Standings of servers and registration of their starts.
 
 use grebepin_schema::{Epoch, LogIndex, RegisterBoot, SetStanding};
 
@@ -29,13 +29,13 @@
         if entry.effective_standing() != before {
             let mut changes = EntryChanges::new(index);
             changes.standings.push(server);
-            self.note_changes(changes);
+            self.record_changes(changes);
         }
         outcome
     }
 
-    /// Records a start of a server. Its shards get a fresh epoch, since the new process forgot the
-    /// requests it ran for them.
+    /// Registers a start of a server. Its shards get a new epoch, since the new process has no record
+    /// of the requests that the former one ran.
     pub(super) fn register_boot(&mut self, index: LogIndex, boot: &RegisterBoot) -> BootOutcome {
         let name = boot.server.clone();
         let Some(server) = self.servers.find(&name) else {
@@ -51,9 +51,9 @@
         let mut changes = EntryChanges::new(index);
         for shard in owned {
             self.set_owner(&service, shard, Some(server), Epoch(index.0), false);
-            changes.note_shard(&service, shard);
+            changes.add_shard(&service, shard);
         }
-        self.note_changes(changes);
+        self.record_changes(changes);
         BootOutcome::Registered { server: name }
     }
 }
--- a/crates/ownership/src/state/table.rs
+++ b/crates/ownership/src/state/table.rs
@@ -1,4 +1,4 @@
-//! The routing table and its deltas, as routers see them.
+//! The routing table and its deltas, as sent to routers.
 
 use grebepin_schema::{
     LogIndex, OwnerChange, ServiceTable, ShardOwner, StandingChange, Table, TableDelta,
@@ -9,7 +9,7 @@
 use super::OwnershipState;
 
 impl OwnershipState {
-    /// The whole routing table, at the index of its last change.
+    /// The whole routing table, with the log index of its last change.
     pub fn table(&self) -> TableSnapshot {
         let record = self.bundle_record();
         TableSnapshot {
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Changes of the table after `previous`, merged; `None` when only the whole table will do: the
-    /// bundle changed since, `previous` is too old, or it lies ahead of this replica.
+    /// Merged changes of the table after `previous`. `None` if a delta isn't possible: the bundle changed
+    /// since, `previous` is too old, or it is ahead of this replica.
     pub fn delta_since(&self, previous: LogIndex) -> Option<TableDelta> {
         if previous > self.applied {
             return None;
@@ -76,7 +76,7 @@
             .collect()
     }
 
-    /// Removed servers that still own shards are listed behind the bundle's servers.
+    /// Removed servers that still own shards are listed after the bundle's servers.
     fn service_table(&self, state: &ServiceState) -> ServiceTable {
         let mut service = state.service.clone();
         let entries = state.servers.iter().map(|&index| self.servers.get(index));
--- a/crates/ownership/tests/balance.rs
+++ b/crates/ownership/tests/balance.rs
@@ -1,4 +1,5 @@
-//! Planned moves while load is counted: counts are evened out within the limits on churn, then all rests.
+//! Planned moves under load: shard counts are balanced within the churn limits, and then no more moves
+//! start.
 
 mod support;
 
@@ -11,47 +12,47 @@
 
 const SHARDS: u32 = 256;
 
-/// Servers of the side that has all shares.
+/// Servers of the only side with a share.
 const SERVERS: [usize; 3] = [0, 2, 4];
 
 const MOVES_PER_MINUTE: u32 = 300;
 const IMBALANCE_PERCENT: usize = 20;
 
-/// Time between reports of load.
+/// Interval between load reports.
 const REPORT: Duration = Duration::from_millis(500);
 
-/// Busy time of a usual shard in a report, in microseconds.
+/// Busy time of a shard other than the hot one in a report, in microseconds.
 const USUAL_BUSY_US: u64 = 2_000;
 
-/// What took shards away from servers 2 and 4.
+/// Why servers 2 and 4 lost their shards.
 #[derive(Clone, Copy, Debug)]
-enum Away {
+enum Absence {
     Drained,
     Frozen,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    away: Away,
-    /// How many times as busy as a usual shard shard 0 is.
+    absence: Absence,
+    /// Load of shard 0, as a multiple of another shard's load.
     hot: u64,
 }
 
 const CASES: [Case; 4] = [
     Case {
-        away: Away::Drained,
+        absence: Absence::Drained,
         hot: 1,
     },
     Case {
-        away: Away::Drained,
+        absence: Absence::Drained,
         hot: 60,
     },
     Case {
-        away: Away::Frozen,
+        absence: Absence::Frozen,
         hot: 1,
     },
     Case {
-        away: Away::Frozen,
+        absence: Absence::Frozen,
         hot: 60,
     },
 ];
@@ -64,7 +65,7 @@
         }
     }
 
-    /// What a router reports: all servers, and the hot shard.
+    /// The load report of a router: all servers, and the hot shard.
     fn report(self, world: &World) -> LoadReport {
         let owners = owners(world);
         let servers = SERVERS.into_iter().map(|number| {
@@ -99,11 +100,11 @@
         while world.now < end {
             world.run(REPORT);
             let report = self.report(world);
-            world.tell_load(&report);
+            world.send_load_report(&report);
         }
     }
 
-    /// Gives the time until `done` holds, if it does within `limit`.
+    /// Runs until `done` holds; returns the elapsed time, or `None` after `limit`.
     fn run_until(
         self,
         world: &mut World,
@@ -120,19 +121,19 @@
         Some(world.now - start)
     }
 
-    /// A world under load in which servers 2 and 4 just came back and own nothing.
+    /// A world under load in which servers 2 and 4 have just become available again and own no shards.
     fn returned(self) -> World {
         let mut world = fleet();
         self.run_under_load(&mut world, ms(60_000));
         for number in [2, 4] {
-            match self.away {
-                Away::Drained => drop(world.drain_by_operator(&server_name(number), true)),
-                Away::Frozen => world.freeze(&server_name(number), ms(10_000)),
+            match self.absence {
+                Absence::Drained => drop(world.drain_by_operator(&server_name(number), true)),
+                Absence::Frozen => world.freeze(&server_name(number), ms(10_000)),
             }
         }
         self.run_under_load(&mut world, ms(10_000));
         assert_eq!(counts(&world), [SHARDS as usize, 0, 0], "{self:?}");
-        if let Away::Drained = self.away {
+        if let Absence::Drained = self.absence {
             world.drain_by_operator(&server_name(2), false);
             world.drain_by_operator(&server_name(4), false);
         }
@@ -141,7 +142,7 @@
 }
 
 fn fleet() -> World {
-    let mut world = World::new(Network::calm(), Guards::all());
+    let mut world = World::new(Network::reliable(), Guards::all());
     SERVERS
         .into_iter()
         .for_each(|number| world.start(server_name(number)));
@@ -166,13 +167,13 @@
     SERVERS.map(|number| world.owned(&server_name(number)))
 }
 
-/// Whether no server has more than its share by more than the policy lets it.
+/// Whether no server exceeds its share by more than the policy allows.
 fn is_level(world: &World) -> bool {
     let most = SHARDS as usize * (100 + IMBALANCE_PERCENT) / (100 * SERVERS.len());
     counts(world).into_iter().all(|count| count <= most)
 }
 
-/// Time that the bundle's limit takes to bring both servers to their shares.
+/// Time to fill both servers up to their shares at the bundle's limit on moves.
 fn time_allowed() -> Duration {
     let moves = SHARDS * 2 / 3;
     Duration::from_secs(60) * moves / MOVES_PER_MINUTE
@@ -205,7 +206,7 @@
         let first = world.assignments;
         let level = case.run_until(&mut world, ms(300_000), is_level);
         assert!(level.is_some(), "{case:?}: {:?}", counts(&world));
-        // Relief of the server with the hot shard waits for fresh counts of load.
+        // Moves away from the server with the hot shard wait for new load counts.
         case.run_under_load(&mut world, ms(30_000));
         let before = world.assignments;
         println!(
@@ -221,7 +222,7 @@
 #[test]
 fn a_hot_server_gets_no_shards_back_while_the_others_level_out() {
     let case = Case {
-        away: Away::Drained,
+        absence: Absence::Drained,
         hot: 150,
     };
     let mut world = fleet();
@@ -251,7 +252,7 @@
 fn a_new_leader_moves_nothing_before_it_counted_load() {
     for hot in [60, 150] {
         let case = Case {
-            away: Away::Drained,
+            absence: Absence::Drained,
             hot,
         };
         let mut world = fleet();
--- a/crates/ownership/tests/bundles.rs
+++ b/crates/ownership/tests/bundles.rs
@@ -64,22 +64,22 @@
     let shared = vec![ledger(8).remove(0), service("other", 8, &[1], [1, 1])];
     let cases: Vec<(&str, Bundle, Expected)> = vec![
         (
-            "same number, other content",
+            "same version, other content",
             noted,
             |refusal| matches!(refusal, BundleRefusal::VersionConflict { accepted } if accepted.version == 2),
         ),
         (
-            "an accepted number again",
+            "version accepted before",
             bundle(1, None, ledger(9)),
             |refusal| matches!(refusal, BundleRefusal::VersionConflict { accepted } if accepted.version == 1),
         ),
         (
-            "older",
+            "older version",
             bundle(0, parent(), ledger(8)),
             |refusal| matches!(refusal, BundleRefusal::OlderVersion { accepted, .. } if accepted.version == 2),
         ),
         (
-            "parent is not in force",
+            "parent is not the bundle in force",
             bundle(3, Some(first.clone()), ledger(8)),
             |refusal| matches!(refusal, BundleRefusal::ParentMismatch { accepted: Some(_) }),
         ),
@@ -90,14 +90,14 @@
             matches!(refusal, BundleRefusal::DeploymentChanged { .. })
         }),
         (
-            "other count of shards",
+            "other number of shards",
             bundle(3, parent(), ledger(9)),
             |refusal| matches!(refusal, BundleRefusal::ShardCountChanged { shards: 8, .. }),
         ),
-        ("service twice", bundle(3, parent(), twice), |refusal| {
+        ("duplicate service", bundle(3, parent(), twice), |refusal| {
             matches!(refusal, BundleRefusal::DuplicateService { .. })
         }),
-        ("server twice", bundle(3, parent(), shared), |refusal| {
+        ("duplicate server", bundle(3, parent(), shared), |refusal| {
             matches!(refusal, BundleRefusal::DuplicateServer { .. })
         }),
     ];
--- a/crates/ownership/tests/leases.rs
+++ b/crates/ownership/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Leases, losses, restarts and changes of leader, against the real holder over a calm network.
+//! Leases, loss and restart of servers and changes of leader, with the real holder and a network without
+//! faults.
 
 mod support;
 
@@ -23,11 +24,15 @@
         world.stop(&server_name(2));
         let lost = world.assignments;
         world.run(ms(790));
-        assert_eq!(world.assignments, lost, "its lease may still run");
+        assert_eq!(world.assignments, lost, "its lease may still be valid");
         let took = settle_within(&mut world, ms(1_210));
         assert!(took + ms(790) < ms(1_500), "{took:?}");
         assert_eq!(world.owned(&server_name(2)), 0);
-        assert_eq!(world.assignments, lost + 10, "only its own shards moved");
+        assert_eq!(
+            world.assignments,
+            lost + 10,
+            "only the lost server's shards moved"
+        );
     }
 }
 
@@ -42,7 +47,7 @@
 }
 
 #[test]
-fn a_server_frozen_beyond_its_lease_returns_empty_handed() {
+fn a_server_frozen_beyond_its_lease_returns_without_shards() {
     let mut world = settled([1, 1]);
     world.freeze(&server_name(1), ms(4_000));
     world.run(ms(3_900));
@@ -57,14 +62,14 @@
         let mut world = settled([1, 1]);
         world.run(ms(offset));
         let (assignments, grants) = (world.assignments, world.sent["grant"]);
-        // Nobody renews while the replicas elect.
+        // Leases are not renewed during the election.
         world.leader_lease_until = Some(world.now);
         world.run(ms(380));
         world.leader_lease_until = None;
         world.change_leader(ms(0));
         world.run(ms(5_000));
         assert_eq!(world.assignments, assignments, "no shard changed its owner");
-        assert_eq!(world.sent["grant"], grants, "no lease lapsed");
+        assert_eq!(world.sent["grant"], grants, "no lease expired");
         assert!(world.is_settled());
     }
 }
@@ -75,7 +80,7 @@
     let assignments = world.assignments;
     world.leader_lease_until = Some(world.now);
     world.run(ms(4_000));
-    assert!(world.holders().is_empty(), "every lease lapsed");
+    assert!(world.holders().is_empty(), "every lease expired");
     world.leader_lease_until = None;
     world.change_leader(ms(0));
     settle_within(&mut world, ms(200));
--- a/crates/ownership/tests/model.rs
+++ b/crates/ownership/tests/model.rs
@@ -1,4 +1,5 @@
-//! Random faults over a hostile network: two holders never, and a settled fleet once the faults end.
+//! Random faults over a faulty network: no shard ever has two holders, and each is held by its owner once
+//! the faults end.
 
 mod support;
 
@@ -14,13 +15,13 @@
     Wait(u64),
     Freeze(usize, u64),
     Restart(usize),
-    /// A new process while the former one goes on, cut off.
+    /// Starts a new process while the former one keeps running, unreachable.
     Replace(usize),
     Stop(usize),
     Drain(usize, bool),
-    /// Milliseconds that the former leader keeps sending.
+    /// Time in milliseconds for which the former leader keeps sending.
     ChangeLeader(u64),
-    /// Milliseconds without a leader lease.
+    /// Time in milliseconds without a leader lease.
     LoseLeaderLease(u64),
     PauseLeader(u64),
     Roll([u32; 2], Vec<usize>),
@@ -74,7 +75,7 @@
 }
 
 fn world_under(faults: &[Fault], seed: u64, guards: Guards) -> World {
-    let mut world = World::new(Network::hostile(seed), guards);
+    let mut world = World::new(Network::faulty(seed), guards);
     for number in 0..SERVERS {
         world.start(server_name(number));
     }
@@ -102,13 +103,13 @@
         seed in any::<u64>(),
     ) {
         let mut world = world_under(&faults, seed, Guards::all());
-        world.network = Network::calm();
+        world.network = Network::reliable();
         roll(&mut world, [1, 1], &[0, 1, 2, 3, 4]);
         for number in 0..SERVERS {
             world.start(server_name(number));
             world.drain_by_operator(&server_name(number), false);
         }
-        // Requests that the network still holds arrive within this time.
+        // Requests still delayed by the network arrive within this time.
         world.run(ms(8_000));
         let end = world.now + ms(60_000);
         let settled = world.run_until(end, World::is_settled);
--- a/crates/ownership/tests/moves.rs
+++ b/crates/ownership/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Planned moves: drains, rolls, removals, reachability, load, the platform's list.
+//! Planned moves: drains, new bundles, removals, reachability, load, the platform's list of machines.
 
 mod support;
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_server_that_wishes_to_leave_is_emptied() {
+fn a_server_that_reports_draining_is_emptied() {
     let mut world = settled([1, 1]);
     let name = server_name(4);
     let now = world.now;
@@ -60,7 +60,7 @@
 fn a_drain_survives_a_change_of_leader_between_release_and_commit() {
     let mut world = settled([1, 1]);
     world.drain_by_operator(&server_name(4), true);
-    // The releases are answered, and the assignments that follow are lost with the leader.
+    // The releases are answered, and the resulting proposals are lost with the leader.
     world.run(ms(6));
     world.change_leader(ms(50));
     settle_within(&mut world, ms(4_000));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn with_nowhere_to_go_a_draining_server_keeps_its_shards() {
+fn a_draining_server_keeps_its_shards_without_an_eligible_receiver() {
     let mut world = settled([1, 1]);
     for number in 0..6 {
         world.drain_by_operator(&server_name(number), true);
@@ -111,7 +111,7 @@
         .clone();
     let next = service("ledger", SHARDS, &[0, 1, 2, 3, 4], [1, 1]);
     world.commit(&accept(bundle(2, Some(digest), vec![next])).0);
-    assert_eq!(world.owned(&server_name(5)), 10, "routers still find it");
+    assert_eq!(world.owned(&server_name(5)), 10, "still listed for routers");
     settle_within(&mut world, ms(1_500));
     world.run(ms(1_500));
     assert_eq!(world.owned(&server_name(5)), 0);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_removed_service_is_let_go() {
+fn shards_of_a_removed_service_are_released() {
     let mut world = settled([1, 1]);
     let digest = world
         .state
@@ -144,7 +144,7 @@
     let list = MachineList {
         machines: vec![listed(1), listed(3)],
     };
-    world.tell_machines(&list);
+    world.send_machines(&list);
     world.run(ms(3_000));
     assert_eq!(counts(&world), [10, 10, 10, 10, 10, 10]);
     world.stop(&server_name(5));
@@ -185,7 +185,7 @@
             load(server_name(1), 20, 0, 0),
         ];
         let report = report(failing, Vec::new(), &world);
-        world.tell_load(&report);
+        world.send_load_report(&report);
         world.run(ms(500));
     }
     assert_eq!(world.owned(&server_name(0)), 0, "{:?}", counts(&world));
@@ -220,7 +220,7 @@
             busy_us: 200_000,
         });
         let report = report(servers, shards.collect(), &world);
-        world.tell_load(&report);
+        world.send_load_report(&report);
         world.run(ms(500));
         if world.assignments > assignments {
             break;
@@ -228,7 +228,7 @@
     }
     let still_there = of_first(&world);
     let left = hot.iter().filter(|shard| !still_there.contains(shard));
-    assert_eq!(left.count(), 1, "one of the two hot shards");
+    assert_eq!(left.count(), 1, "one of the two hot shards stays");
     assert!(
         world.assignments - assignments <= 8,
         "one plan, within concurrent_moves"
@@ -241,7 +241,7 @@
         let mut world = settled([1, 1]);
         world.drain_by_operator(&server_name(4), true);
         world.run(ms(after));
-        // The world fails if a shard gets a second holder while the former process still has its lease.
+        // The world panics if a shard gets a second holder while the former process still has its lease.
         world.replace(server_name(4));
         settle_within(&mut world, ms(3_000));
         assert_eq!(world.owned(&server_name(4)), 0);
@@ -249,17 +249,17 @@
 }
 
 #[test]
-fn leaving_servers_get_lapsed_shards_back_if_no_other_may_receive_them() {
+fn draining_servers_are_granted_expired_shards_if_no_other_is_eligible() {
     let mut world = settled([1, 0]);
     for number in [0, 2, 4] {
         world.drain_by_operator(&server_name(number), true);
     }
     world.leader_lease_until = Some(world.now);
     world.run(ms(2_000));
-    assert!(world.holders().is_empty(), "every lease lapsed");
+    assert!(world.holders().is_empty(), "every lease expired");
     world.leader_lease_until = None;
     world.change_leader(ms(0));
-    // The servers of the side without a share are active and have leases, and may receive nothing.
+    // The servers of the side without a share are active and have leases, but are not eligible.
     settle_within(&mut world, ms(1_000));
     let owned: usize = counts(&world).iter().sum();
     assert_eq!(owned, SHARDS as usize);
--- a/crates/ownership/tests/plan.rs
+++ b/crates/ownership/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What a plan says equals what rolling the bundle does.
+//! A plan equals the moves made when its bundle is submitted.
 
 mod support;
 
@@ -11,7 +11,7 @@
 const SHARDS: u32 = 60;
 
 fn settled() -> World {
-    let mut world = World::new(Network::calm(), Guards::all());
+    let mut world = World::new(Network::reliable(), Guards::all());
     for number in 0..6 {
         world.start(server_name(number));
     }
@@ -26,7 +26,7 @@
     bundle(2, Some(record.digest.clone()), services)
 }
 
-fn only(plan: Plan) -> ServicePlan {
+fn single_service(plan: Plan) -> ServicePlan {
     let mut services = plan.services.into_iter();
     services.next().expect("one service")
 }
@@ -43,7 +43,7 @@
     ] {
         let mut world = settled();
         let rolled = next(&world, vec![service("ledger", SHARDS, servers, shares)]);
-        let plan = only(plan_bundle(&world.state, &rolled));
+        let plan = single_service(plan_bundle(&world.state, &rolled));
         let before = world.assignments;
         world.commit(&accept(rolled).0);
         world.run(ms(60_000));
@@ -61,7 +61,7 @@
     let world = settled();
     let mut spread = service("ledger", SHARDS, &[0, 1, 2, 3, 4, 5], [1, 1]);
     spread.churn.moves_per_minute = 60;
-    let plan = only(plan_bundle(&world.state, &next(&world, vec![spread])));
+    let plan = single_service(plan_bundle(&world.state, &next(&world, vec![spread])));
     assert_eq!(
         (plan.moves, plan.at_least),
         (30, Some(Duration::from_secs(30)))
@@ -98,11 +98,13 @@
         }),
     ];
     for (services, risky) in cases {
-        let plan = only(plan_bundle(&world.state, &next(&world, services)));
+        let plan = single_service(plan_bundle(&world.state, &next(&world, services)));
         assert!(plan.risks.iter().any(risky), "{plan:?}");
     }
     let same = vec![service("ledger", SHARDS, &all, [1, 0])];
-    assert!(only(plan_bundle(&world.state, &next(&world, same)))
-        .risks
-        .is_empty());
+    assert!(
+        single_service(plan_bundle(&world.state, &next(&world, same)))
+            .risks
+            .is_empty()
+    );
 }
--- a/crates/ownership/tests/state.rs
+++ b/crates/ownership/tests/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: compare-and-set of epochs, deltas, snapshots, determinism.
+//! The replicated state: compare-and-set on epochs, deltas, snapshots, determinism.
 
 mod support;
 
@@ -139,7 +139,9 @@
     let empty = state.delta_since(LogIndex(3)).expect("kept");
     assert!(empty.owners.is_empty() && empty.standings.is_empty());
     let mut restored = OwnershipState::new(GroupId(0));
-    restored.restore(&state.snapshot()).expect("whole");
+    restored
+        .restore(&state.snapshot())
+        .expect("a valid snapshot");
     assert!(
         restored.delta_since(LogIndex(2)).is_none(),
         "before the snapshot"
@@ -166,11 +168,11 @@
         damaged[position] ^= 0x55;
         let _ = state.restore(&damaged);
     }
-    state.restore(&whole).expect("whole");
+    state.restore(&whole).expect("a valid snapshot");
     assert_eq!(state.snapshot(), whole);
 }
 
-/// What a router does with a delta.
+/// Applies a delta to a table, as a router does.
 fn patched(mut table: TableSnapshot, delta: &TableDelta) -> TableSnapshot {
     assert_eq!(table.index, delta.previous);
     for service in &mut table.table.services {
@@ -202,7 +204,7 @@
     proptest::collection::vec(one, 1..4)
 }
 
-/// Turns numbers into a command that fits the state: mostly assignments at the right epoch.
+/// Maps random numbers to a command for the state, mostly assignments at the current epoch.
 fn command_for(state: &OwnershipState, picks: &[(u32, Option<usize>, u8)]) -> Command {
     let (shard, server, kind) = picks[0];
     let number = server.unwrap_or(shard as usize % SERVERS);
@@ -260,7 +262,7 @@
     ) {
         let mut state = state(Guards::all());
         let mut twin = OwnershipState::new(GroupId(0));
-        twin.restore(&state.snapshot()).expect("whole");
+        twin.restore(&state.snapshot()).expect("a valid snapshot");
         let mut router = state.table();
         for (number, picks) in commands.iter().enumerate() {
             let index = LogIndex(10 + number as u64);
@@ -271,7 +273,7 @@
             if number % 7 == 6 {
                 let snapshot = state.snapshot();
                 twin = OwnershipState::new(GroupId(0));
-                twin.restore(&snapshot).expect("whole");
+                twin.restore(&snapshot).expect("a valid snapshot");
                 prop_assert_eq!(twin.snapshot(), snapshot);
                 prop_assert_eq!(twin.table(), state.table());
             }
--- a/crates/ownership/tests/support/calls.rs
+++ b/crates/ownership/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! Requests on their way, what servers answer, and commits.
+//! Delivery of requests, answers of servers, and commits.
 
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
         self.queue.insert((self.now + after, self.next_call), event);
     }
 
-    pub(super) fn take_event(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::Request(call, request) => self.deliver(call, request),
             Event::Answer(call, mut input) | Event::Timeout(call, mut input) => {
@@ -75,7 +75,7 @@
                 if let CoordinatorInput::HeartbeatAnswered { sent_at, .. } = &mut input {
                     *sent_at = sent;
                 }
-                self.tell(input);
+                self.notify_leader(input);
             }
             Event::Commit(term) if term == self.term => {
                 if let Some(command) = self.proposals.pop_front() {
@@ -118,7 +118,7 @@
                 CoordinatorInput::HeartbeatAnswered {
                     server,
                     answer,
-                    sent_at: Duration::ZERO, // Set where the answer arrives.
+                    sent_at: Duration::ZERO, // Set when the answer arrives.
                 }
             }
             CoordinatorOutput::Grant { request, .. } => {
@@ -148,7 +148,7 @@
                 process.holder.drain(clock, request.draining);
                 CoordinatorInput::DrainDone { server }
             }
-            CoordinatorOutput::Propose(_) => unreachable!("proposals go to no server"),
+            CoordinatorOutput::Propose(_) => unreachable!("proposals are not sent to servers"),
         }
     }
 
@@ -179,6 +179,6 @@
         | CoordinatorOutput::Release { server, .. }
         | CoordinatorOutput::Holdings { server, .. }
         | CoordinatorOutput::Drain { server, .. } => server.clone(),
-        CoordinatorOutput::Propose(_) => unreachable!("proposals go to no server"),
+        CoordinatorOutput::Propose(_) => unreachable!("proposals are not sent to servers"),
     }
 }
--- a/crates/ownership/tests/support/fleet.rs
+++ b/crates/ownership/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A settled fleet of six servers, three on each side, that own one service's shards.
+//! A fleet of six servers, three on each side, that hold all shards of one service.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 
 pub const SHARDS: u32 = 60;
 
-/// A world in which servers 0 to 5 own one service's shards, three on each side.
+/// A world in which servers 0 to 5, three on each side, hold all shards of one service.
 pub fn settled(shares: [u32; 2]) -> World {
-    let mut world = World::new(Network::calm(), Guards::all());
+    let mut world = World::new(Network::reliable(), Guards::all());
     for number in 0..6 {
         world.start(server_name(number));
     }
--- a/crates/ownership/tests/support/mod.rs
+++ b/crates/ownership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Bundles, and a world in which a coordinator talks to real holders over a simulated network.
+//! Bundles, and a simulation of a coordinator and real holders with a simulated network.
 #![allow(dead_code, unused_imports)] // Each test file uses a part.
 
 mod calls;
--- a/crates/ownership/tests/support/network.rs
+++ b/crates/ownership/tests/support/network.rs
@@ -1,55 +1,55 @@
-//! A network that delays, loses and repeats requests to servers, from a seed.
+//! A simulated network that delays, drops and duplicates requests to servers, determined by a seed.
 
 use std::time::Duration;
 
 use super::ms;
 
-/// What may happen to one request.
+/// Probabilities of faults for each request.
 #[derive(Clone, Debug)]
 pub struct Network {
     seed: u64,
-    /// Longest usual one-way delay.
+    /// Longest one-way delay without a fault.
     pub delay: Duration,
-    /// Of 1000 requests, how many are lost.
+    /// Number of requests in 1000 that are lost.
     pub lost: u64,
-    /// Of 1000 requests, how many arrive up to three seconds late.
-    pub stuck: u64,
-    /// Of 1000 requests, how many arrive a second time, later.
-    pub repeated: u64,
+    /// Number of requests in 1000 that arrive up to three seconds late.
+    pub late: u64,
+    /// Number of requests in 1000 that arrive a second time, up to four seconds late.
+    pub duplicated: u64,
 }
 
 impl Network {
-    /// A network that does no harm.
-    pub fn calm() -> Self {
+    /// A network without faults.
+    pub fn reliable() -> Self {
         Self {
             seed: 1,
             delay: ms(2),
             lost: 0,
-            stuck: 0,
-            repeated: 0,
+            late: 0,
+            duplicated: 0,
         }
     }
 
-    /// A network that does all of it.
-    pub fn hostile(seed: u64) -> Self {
+    /// A network with all kinds of faults.
+    pub fn faulty(seed: u64) -> Self {
         Self {
             seed: seed | 1,
             delay: ms(30),
             lost: 50,
-            stuck: 50,
-            repeated: 50,
+            late: 50,
+            duplicated: 50,
         }
     }
 
-    /// Times from now at which copies of a request arrive; none when it is lost.
+    /// Delays after which copies of a request arrive; empty if it is lost.
     pub fn arrivals(&mut self) -> Vec<Duration> {
         let mut arrivals = Vec::new();
-        if self.chance(self.stuck) {
+        if self.chance(self.late) {
             arrivals.push(ms(self.below(3_000)));
         } else if !self.chance(self.lost) {
             arrivals.push(self.one_way());
         }
-        if self.chance(self.repeated) {
+        if self.chance(self.duplicated) {
             arrivals.push(ms(self.below(4_000)));
         }
         arrivals
@@ -63,7 +63,7 @@
         self.below(1_000) < of_1000
     }
 
-    /// A number below `limit`, which is above 0; xorshift.
+    /// A random number below `limit`, which is above 0, from a xorshift generator.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.seed ^= self.seed << 13;
         self.seed ^= self.seed >> 7;
--- a/crates/ownership/tests/support/world.rs
+++ b/crates/ownership/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! One replicated state, its leaders one after the other, and servers that run the real holder.
+//! A simulation of one replicated state with successive leaders and of servers that run the real holder.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,18 +14,18 @@
 
 use super::{config, ms, Network, LEADER_LEASE};
 
-/// Time limit of every call to a server.
+/// Timeout of every call to a server.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time from a proposal to its commit.
+/// Delay from a proposal to its commit.
 pub(super) const COMMIT_DELAY: Duration = Duration::from_millis(3);
 
 pub struct ServerProcess {
     pub holder: Holder,
-    /// Unreachable or frozen until then.
+    /// Until this time the process handles no requests.
     pub frozen_until: Duration,
     pub up: bool,
-    /// Clock rate in millionths.
+    /// Clock rate in parts per million; 1,000,000 is exact.
     pub clock_rate: u64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 pub(super) enum Event {
-    /// A copy of a request reaches a server; the answer goes back if someone waits for it.
+    /// A copy of a request reaches a server; the answer is used only if the leader still waits for it.
     Request(u64, CoordinatorOutput),
     Answer(u64, CoordinatorInput<'static>),
     Timeout(u64, CoordinatorInput<'static>),
@@ -49,18 +49,18 @@
     pub coordinator: Coordinator,
     pub term: Term,
     pub servers: BTreeMap<ServerName, ServerProcess>,
-    /// Former processes that nobody reaches and that hold what they hold until their leases end.
-    ghosts: Vec<(ServerName, ServerProcess)>,
+    /// Former processes that are unreachable and keep their shards until their leases end.
+    isolated: Vec<(ServerName, ServerProcess)>,
     pub network: Network,
     pub leader_lease_until: Option<Duration>,
-    /// The leader before, still sending until its lease ends.
+    /// The former leader, which keeps sending until its lease ends.
     former: Option<(Coordinator, OwnershipState, Duration)>,
     guards: Guards,
     index: u64,
     boots: u64,
     pub(super) proposals: VecDeque<Command>,
     pub(super) queue: BTreeMap<(Duration, u64), Event>,
-    /// Calls that the leader waits for, with the time they were sent.
+    /// Calls for whose answers the leader waits, with the time at which they were sent.
     pub(super) open_calls: BTreeMap<u64, Duration>,
     pub(super) next_call: u64,
     pub assignments: u64,
@@ -75,7 +75,7 @@
             coordinator: Coordinator::new(config(guards), Term(1), ms(5_000)),
             term: Term(1),
             servers: BTreeMap::new(),
-            ghosts: Vec::new(),
+            isolated: Vec::new(),
             network,
             leader_lease_until: None,
             former: None,
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Starts a server, or starts it anew.
+    /// Starts or restarts a server.
     pub fn start(&mut self, name: ServerName) {
         self.boots += 1;
-        // A boot is a large number in real life, and sessions start from it.
+        // Real boot numbers are large, and sessions count from them.
         let config = HolderConfig::new(self.boots << 32);
         let clock_rate = 990_000 + self.network.below(20_000);
         let process = ServerProcess {
@@ -106,11 +106,12 @@
         self.servers.insert(name, process);
     }
 
-    /// Starts a server in a new process while the former one goes on, cut off.
+    /// Starts a new process of a server while the former one keeps running, unreachable.
     pub fn replace(&mut self, name: ServerName) {
         if let Some(former) = self.servers.remove(&name) {
-            let ghost = format!("former-{}", name.as_str());
-            self.ghosts.push((ghost.parse().expect("a name"), former));
+            let isolated_name = format!("former-{}", name.as_str());
+            self.isolated
+                .push((isolated_name.parse().expect("a name"), former));
         }
         self.start(name);
     }
@@ -140,26 +141,26 @@
         }))
     }
 
-    /// Commits a command at once and tells the leader.
+    /// Commits a command immediately and notifies the leader.
     pub fn commit(&mut self, command: &Command) -> Applied {
         self.index += 1;
         let applied = self.state.apply(LogIndex(self.index), command);
         if let grebepin_ownership::Outcome::Assigned(assigned) = &applied.outcome {
             self.assignments += assigned.accepted.len() as u64;
         }
-        self.tell(CoordinatorInput::Applied(&applied));
+        self.notify_leader(CoordinatorInput::Applied(&applied));
         applied
     }
 
-    pub fn tell_machines(&mut self, list: &MachineList) {
-        self.tell(CoordinatorInput::Machines(list));
+    pub fn send_machines(&mut self, list: &MachineList) {
+        self.notify_leader(CoordinatorInput::Machines(list));
     }
 
-    pub fn tell_load(&mut self, report: &LoadReport) {
-        self.tell(CoordinatorInput::LoadReported(report));
+    pub fn send_load_report(&mut self, report: &LoadReport) {
+        self.notify_leader(CoordinatorInput::LoadReported(report));
     }
 
-    /// A new leader takes over. The former one keeps sending for `lag`; its proposals are lost.
+    /// Starts a new leader. The former one keeps sending for `lag`, and its proposals are lost.
     pub fn change_leader(&mut self, lag: Duration) {
         self.term = Term(self.term.0 + 1);
         self.proposals.clear();
@@ -167,7 +168,7 @@
         let former = std::mem::replace(&mut self.coordinator, next);
         self.former = Some((former, self.state.clone(), self.now + lag.min(LEADER_LEASE)));
         self.open_calls.clear();
-        self.tell(CoordinatorInput::Tick);
+        self.notify_leader(CoordinatorInput::Tick);
     }
 
     pub fn run(&mut self, length: Duration) {
@@ -175,7 +176,7 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done` holds or the time is over; gives the time it took, if it held.
+    /// Runs until `done` holds or `end` is reached; returns the elapsed time if it held.
     pub fn run_until(
         &mut self,
         end: Duration,
@@ -194,12 +195,12 @@
             match self.queue.first_key_value().map(|(key, _)| *key) {
                 Some(key) if key.0 <= self.now => {
                     let event = self.queue.remove(&key).expect("it was first");
-                    self.take_event(event);
+                    self.handle_event(event);
                 }
                 _ => {
-                    self.tell(CoordinatorInput::Tick);
+                    self.notify_leader(CoordinatorInput::Tick);
                     let wake = self.coordinator.next_wake();
-                    assert!(wake > self.now, "asks to be woken at once, again and again");
+                    assert!(wake > self.now, "next wake is not after the tick");
                 }
             }
             self.tick_former();
@@ -208,11 +209,14 @@
         Some(self.now - start)
     }
 
-    /// Shards that each server may serve now.
+    /// Servers that hold each shard now, isolated processes included.
     pub fn holders(&mut self) -> BTreeMap<ShardKey, Vec<ServerName>> {
         let mut holders: BTreeMap<ShardKey, Vec<ServerName>> = BTreeMap::new();
-        let ghosts = self.ghosts.iter_mut().map(|(name, ghost)| (&*name, ghost));
-        for (name, process) in self.servers.iter_mut().chain(ghosts) {
+        let isolated = self
+            .isolated
+            .iter_mut()
+            .map(|(name, former_process)| (&*name, former_process));
+        for (name, process) in self.servers.iter_mut().chain(isolated) {
             if !process.up {
                 continue;
             }
@@ -251,7 +255,7 @@
         })
     }
 
-    /// Shards that the committed state gives to a server.
+    /// Number of shards that a server owns in the committed state.
     pub fn owned(&self, name: &ServerName) -> usize {
         let table = self.state.table().table;
         let services = table.services.iter();
@@ -279,7 +283,7 @@
         }
     }
 
-    pub(super) fn tell(&mut self, input: CoordinatorInput<'_>) {
+    pub(super) fn notify_leader(&mut self, input: CoordinatorInput<'_>) {
         let lease_until = self.leader_lease_until.unwrap_or(self.now + LEADER_LEASE);
         let outputs = self
             .coordinator
