--- a/crates/check/src/holdings.rs
+++ b/crates/check/src/holdings.rs
@@ -1,4 +1,4 @@
-//! When each server held each shard, from the records of acquired and forfeited holds.
+//! Derives the intervals in which servers held shards from the `Acquired`, `Forfeited` and `Killed` records.
 
 use std::collections::BTreeMap;
 
@@ -6,26 +6,28 @@
 
 use crate::History;
 
-/// One unbroken hold of a shard by a server at one epoch.
+/// An uninterrupted interval in which one server held a shard at one epoch.
 #[derive(Clone, Debug)]
 pub(crate) struct Hold {
     pub(crate) server: ServerName,
     pub(crate) epoch: Epoch,
     pub(crate) from_us: u64,
-    /// `u64::MAX` while the hold lasts at the end of the history.
+    /// `u64::MAX` if the shard is still held at the end of the history.
     pub(crate) until_us: u64,
+    /// Position of the record that began the hold.
     pub(crate) acquired: usize,
+    /// Position of the `Forfeited` or `Killed` record that ended the hold.
     pub(crate) forfeited: Option<usize>,
 }
 
-/// A shard of a service.
+/// A shard, identified by its service and shard id.
 pub(crate) type Shard = (ServiceName, ShardId);
 
-/// Holds of each shard in the order in which they began.
+/// The holds of each shard, ordered by start time.
 pub(crate) type Holds = BTreeMap<Shard, Vec<Hold>>;
 
-/// Collects the holds of a history. A server's hold ends when it forfeits the shard, acquires it at
-/// another epoch, or is killed.
+/// Collects the holds of a history. A hold ends when the server forfeits the shard at the same epoch,
+/// acquires the shard again, or is killed.
 pub(crate) fn collect(history: &History<'_>) -> Holds {
     let mut holds = Holds::new();
     let mut open: BTreeMap<ServerName, BTreeMap<Shard, usize>> = BTreeMap::new();
@@ -84,10 +86,10 @@
     let Some(shards) = open.get_mut(&holding.server) else {
         return;
     };
-    let Some(&number) = shards.get(&shard) else {
+    let Some(&index) = shards.get(&shard) else {
         return;
     };
-    let Some(hold) = holds.get_mut(&shard).and_then(|list| list.get_mut(number)) else {
+    let Some(hold) = holds.get_mut(&shard).and_then(|list| list.get_mut(index)) else {
         return;
     };
     if epoch.is_some_and(|epoch| epoch != hold.epoch) {
@@ -108,8 +110,8 @@
     let Ok(server) = name.parse::<ServerName>() else {
         return;
     };
-    for (shard, number) in open.remove(&server).unwrap_or_default() {
-        if let Some(hold) = holds.get_mut(&shard).and_then(|list| list.get_mut(number)) {
+    for (shard, index) in open.remove(&server).unwrap_or_default() {
+        if let Some(hold) = holds.get_mut(&shard).and_then(|list| list.get_mut(index)) {
             hold.until_us = at_us;
             hold.forfeited = Some(position);
         }
--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -1,7 +1,8 @@
-//! Checkers of the promises over a recorded history, and the measures taken from it.
+//! Checks the product's promises over a recorded history and computes measures from it.
 //!
-//! Job: given the records of one run, say which promises were broken, when, and by which records.
-//! Invariant: a checker reads records only. It never asks the product whether it is right.
+//! For the records of one run, reports which promises were broken, when, and which records show it.
+//! Invariant: checkers read only the records and never query the running system, so a fault of the
+//! system can't hide itself from them.
 
 mod holdings;
 mod limits;
@@ -19,8 +20,8 @@
 
 /// Checks every promise over the records of one run.
 ///
-/// Records may come in any order: they are put in the order of their times first, and records of the
-/// same time keep their order. [`Violation::events`] are positions in `records` as given.
+/// The records may be in any order: they are first sorted by time, and records with equal times keep
+/// their relative order. [`Violation::events`] are indices into `records` as passed.
 pub fn check(records: &[HistoryRecord], limits: &CheckLimits) -> Report {
     let history = History::new(records);
     let mut violations = Vec::new();
@@ -34,14 +35,14 @@
     }
 }
 
-/// A record and its position in the history as given.
+/// A record and its index in the slice passed by the caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Located<'a> {
     pub(crate) position: usize,
     pub(crate) record: &'a HistoryRecord,
 }
 
-/// The records in the order of their times.
+/// The records of a run, sorted by time.
 pub(crate) struct History<'a> {
     pub(crate) records: Vec<Located<'a>>,
 }
@@ -57,7 +58,7 @@
         Self { records: located }
     }
 
-    /// Time of the last record in microseconds; 0 without records.
+    /// Time of the last record in microseconds; 0 if there are no records.
     pub(crate) fn end_us(&self) -> u64 {
         self.records
             .last()
--- a/crates/check/src/limits.rs
+++ b/crates/check/src/limits.rs
@@ -1,18 +1,19 @@
-//! The bounds that the promises state in time, and what a recording may get wrong.
+//! Time limits of the promises, and the tolerated error of recorded times.
 
-/// Bounds of the checkers.
+/// Limits that the checkers apply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckLimits {
-    /// After this time a leaving back end receives no new work, in microseconds.
+    /// Time after which a leaving back end receives no new work, in microseconds.
     pub leaving_us: u64,
-    /// After this time an accepted bundle is in force at every router, in microseconds.
+    /// Time within which an accepted bundle is in force at every router, in microseconds.
     pub in_force_us: u64,
-    /// Replicas of the control group; [`CheckLimits::in_force_us`] counts only while a majority of
-    /// them is neither killed, frozen nor cut off.
+    /// Number of control replicas. [`CheckLimits::in_force_us`] applies only while a majority of them
+    /// is neither killed, frozen nor cut off.
     pub control_replicas: usize,
-    /// Prefix of the names of control replicas in records of faults.
+    /// Prefix that identifies control replicas by their process name in records of faults.
     pub control_prefix: String,
-    /// Error of the recorded times between two processes, in microseconds: 0 on a virtual clock.
+    /// Tolerated difference between the recorded times of two processes, in microseconds; 0 on a
+    /// virtual clock.
     pub clock_tolerance_us: u64,
 }
 
@@ -29,7 +30,7 @@
 }
 
 impl CheckLimits {
-    /// Limits for records of several real processes on one machine.
+    /// Limits for histories recorded by several processes on one machine, whose times may differ.
     pub fn for_processes() -> Self {
         Self {
             clock_tolerance_us: 2_000,
--- a/crates/check/src/measures.rs
+++ b/crates/check/src/measures.rs
@@ -1,4 +1,4 @@
-//! What the users measure: churn, imbalance and unavailable time.
+//! Measures of a run: ownership changes, load imbalance and unavailable time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,38 +8,40 @@
 use crate::holdings;
 use crate::History;
 
-/// Largest over mean, over the servers that appear in the history.
+/// Ratio of the maximum to the mean over the servers that appear in the history; 1 is even, 0 is no
+/// load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Imbalance {
-    /// Of shards held at the end.
+    /// Ratio for the shards held at the end of the history.
     pub shards: f64,
-    /// Of effects made over the run.
+    /// Ratio for the effects made during the run.
     pub load: f64,
 }
 
 /// Measures of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServiceMeasures {
-    /// Changes of a shard's owner to another server, without the first owner.
+    /// Number of times that the owner of a shard changed to another server. The first owner of a shard
+    /// is not counted.
     pub owner_changes: u64,
-    /// Evenness among servers.
+    /// Imbalance among the servers.
     pub imbalance: Imbalance,
-    /// Sum over shards of the times between one owner and the next, in microseconds.
+    /// Total time between one owner and the next, summed over all shards, in microseconds.
     pub unowned_us: u64,
     /// Longest time between one owner of a shard and the next, in microseconds.
     pub longest_unowned_us: u64,
-    /// Longest time in which a caller was waiting and none was answered, in microseconds.
+    /// Longest time in which at least one caller was waiting and none was answered, in microseconds.
     pub longest_unanswered_us: u64,
 }
 
 /// Measures of every service in a history.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Measures {
-    /// By service name.
+    /// Measures by service name.
     pub services: BTreeMap<String, ServiceMeasures>,
 }
 
-/// Takes the measures of a history.
+/// Computes the measures of a history. The records may be in any order.
 pub fn measure(records: &[HistoryRecord]) -> Measures {
     let history = History::new(records);
     let mut measures = Measures::default();
@@ -49,7 +51,10 @@
     measures
 }
 
-fn of_service<'m>(measures: &'m mut Measures, service: &ServiceName) -> &'m mut ServiceMeasures {
+fn service_measures_mut<'m>(
+    measures: &'m mut Measures,
+    service: &ServiceName,
+) -> &'m mut ServiceMeasures {
     measures
         .services
         .entry(service.as_str().to_string())
@@ -59,7 +64,7 @@
 fn measure_ownership(history: &History<'_>, measures: &mut Measures) {
     let mut held: BTreeMap<ServiceName, BTreeMap<ServerName, u64>> = BTreeMap::new();
     for ((service, _), list) in holdings::collect(history) {
-        let service_measures = of_service(measures, &service);
+        let service_measures = service_measures_mut(measures, &service);
         for pair in list.windows(2) {
             let gap_us = pair[1].from_us.saturating_sub(pair[0].until_us);
             service_measures.unowned_us += gap_us;
@@ -75,7 +80,8 @@
         }
     }
     for (service, servers) in held {
-        of_service(measures, &service).imbalance.shards = largest_over_mean(servers.values());
+        service_measures_mut(measures, &service).imbalance.shards =
+            max_to_mean_ratio(servers.values());
     }
 }
 
@@ -88,11 +94,12 @@
         }
     }
     for (service, servers) in effects {
-        of_service(measures, service).imbalance.load = largest_over_mean(servers.values());
+        service_measures_mut(measures, service).imbalance.load =
+            max_to_mean_ratio(servers.values());
     }
 }
 
-fn largest_over_mean<'a>(counts: impl Iterator<Item = &'a u64> + Clone) -> f64 {
+fn max_to_mean_ratio<'a>(counts: impl Iterator<Item = &'a u64> + Clone) -> f64 {
     let servers = counts.clone().count();
     let total: u64 = counts.clone().sum();
     let largest = counts.max().copied().unwrap_or(0);
@@ -102,27 +109,27 @@
     largest as f64 * servers as f64 / total as f64
 }
 
-/// Callers of one service that wait, and since when none of them was answered.
+/// Pending requests of one service, and the start of the current interval without an answer.
 #[derive(Default)]
-struct Waiting<'a> {
+struct PendingRequests<'a> {
     requests: BTreeSet<(&'a RequestId, u32)>,
     since_us: u64,
     longest_us: u64,
 }
 
 fn measure_answers(history: &History<'_>, measures: &mut Measures) {
-    let mut services: BTreeMap<&ServiceName, Waiting<'_>> = BTreeMap::new();
+    let mut services: BTreeMap<&ServiceName, PendingRequests<'_>> = BTreeMap::new();
     let mut service_of: BTreeMap<&RequestId, &ServiceName> = BTreeMap::new();
     for located in &history.records {
         let at_us = located.record.at_us;
         match &located.record.event {
             HistoryEvent::Sent(attempt) => {
                 service_of.insert(&attempt.request_id, &attempt.service);
-                let waiting = services.entry(&attempt.service).or_default();
-                if waiting.requests.is_empty() {
-                    waiting.since_us = at_us;
+                let pending = services.entry(&attempt.service).or_default();
+                if pending.requests.is_empty() {
+                    pending.since_us = at_us;
                 }
-                waiting
+                pending
                     .requests
                     .insert((&attempt.request_id, attempt.attempt));
             }
@@ -130,24 +137,24 @@
                 let Some(service) = service_of.get(&answer.request_id) else {
                     continue;
                 };
-                let waiting = services.entry(service).or_default();
-                waiting
+                let pending = services.entry(service).or_default();
+                pending
                     .requests
                     .remove(&(&answer.request_id, answer.attempt));
                 if answer.outcome == Some(Outcome::Answered) {
-                    let gap_us = at_us.saturating_sub(waiting.since_us);
-                    waiting.longest_us = waiting.longest_us.max(gap_us);
-                    waiting.since_us = at_us;
+                    let gap_us = at_us.saturating_sub(pending.since_us);
+                    pending.longest_us = pending.longest_us.max(gap_us);
+                    pending.since_us = at_us;
                 }
             }
             _ => {}
         }
     }
-    for (service, waiting) in services {
-        let mut longest_us = waiting.longest_us;
-        if !waiting.requests.is_empty() {
-            longest_us = longest_us.max(history.end_us().saturating_sub(waiting.since_us));
+    for (service, pending) in services {
+        let mut longest_us = pending.longest_us;
+        if !pending.requests.is_empty() {
+            longest_us = longest_us.max(history.end_us().saturating_sub(pending.since_us));
         }
-        of_service(measures, service).longest_unanswered_us = longest_us;
+        service_measures_mut(measures, service).longest_unanswered_us = longest_us;
     }
 }
--- a/crates/check/src/promises.rs
+++ b/crates/check/src/promises.rs
@@ -1,4 +1,4 @@
-//! One checker for each promise.
+//! The checkers, one for each promise.
 
 mod assignments;
 mod at_most_once;
--- a/crates/check/src/promises/assignments.rs
+++ b/crates/check/src/promises/assignments.rs
@@ -1,12 +1,12 @@
-//! An acknowledged assignment survives.
+//! Checks that an acknowledged assignment is never lost.
 //!
-//! Four rules over what the replicas acknowledged and believe:
-//! 1. one epoch of a shard names one server everywhere;
-//! 2. an assignment that a replica applied follows the latest acknowledged one before it, so no
-//!    acknowledged epoch lies between the epoch it names as replaced and its own;
-//! 3. one replica never acknowledges an earlier epoch after a later one;
-//! 4. at the end some replica believes the latest acknowledged epoch, or a later one. A replica that
-//!    lost what it knew says so by a belief in epoch 0.
+//! Four rules apply to the assignments that the replicas acknowledged and applied:
+//! 1. An epoch of a shard names the same server in every record.
+//! 2. No acknowledged epoch lies between the epoch of an applied assignment and the epoch that it
+//!    names as replaced. Otherwise the acknowledged assignment was lost.
+//! 3. No epoch of a shard is first acknowledged after a later epoch was acknowledged.
+//! 4. At the end of the history at least one replica has applied the latest acknowledged epoch or a
+//!    later one. A replica that lost its state is recorded with epoch 0.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,17 @@
 use crate::holdings::Shard;
 use crate::{CheckLimits, History, Promise, Violation};
 
-/// What is known of one shard.
+/// Assignment records of one shard.
 #[derive(Default)]
 struct ShardHistory {
+    /// Owner of each epoch, and the position of the first record that names it.
     owners: BTreeMap<Epoch, (Option<ServerName>, usize)>,
+    /// Time and position of the first acknowledgement of each epoch.
     acknowledged: BTreeMap<Epoch, (u64, usize)>,
+    /// For each applied epoch, the epoch that it replaced and the position of the record.
     replaced: BTreeMap<Epoch, (Epoch, usize)>,
-    /// Latest belief of each replica.
-    believed: BTreeMap<ReplicaId, Epoch>,
+    /// Latest epoch that each replica applied.
+    applied: BTreeMap<ReplicaId, Epoch>,
 }
 
 pub(crate) fn check(history: &History<'_>, _limits: &CheckLimits) -> Vec<Violation> {
@@ -40,24 +43,29 @@
         let at_us = located.record.at_us;
         violations.extend(check_owner(shard, record, at_us, located.position));
         if acknowledged {
-            violations.extend(check_order(shard, record, at_us, located.position));
+            violations.extend(check_acknowledgement_order(
+                shard,
+                record,
+                at_us,
+                located.position,
+            ));
             shard
                 .acknowledged
                 .entry(record.epoch)
                 .or_insert((at_us, located.position));
         } else {
-            note_belief(shard, record, located.position);
+            record_applied(shard, record, located.position);
         }
     }
     for (name, shard) in &shards {
-        violations.extend(check_chain(name, shard));
-        violations.extend(check_end(name, shard, history.end_us()));
+        violations.extend(check_replaced_epochs(name, shard));
+        violations.extend(check_final_state(name, shard, history.end_us()));
     }
     violations
 }
 
-fn note_belief(shard: &mut ShardHistory, record: &AssignmentRecord, position: usize) {
-    shard.believed.insert(record.replica, record.epoch);
+fn record_applied(shard: &mut ShardHistory, record: &AssignmentRecord, position: usize) {
+    shard.applied.insert(record.replica, record.epoch);
     if let Some(previous) = record.previous {
         shard
             .replaced
@@ -85,14 +93,14 @@
                 record.epoch,
                 *record.service,
                 record.shard,
-                server_text(owner),
-                server_text(&record.server)
+                server_label(owner),
+                server_label(&record.server)
             ),
         )
     })
 }
 
-fn check_order(
+fn check_acknowledgement_order(
     shard: &ShardHistory,
     record: &AssignmentRecord,
     at_us: u64,
@@ -111,7 +119,7 @@
     })
 }
 
-fn check_chain(name: &Shard, shard: &ShardHistory) -> Vec<Violation> {
+fn check_replaced_epochs(name: &Shard, shard: &ShardHistory) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (epoch, (previous, position)) in &shard.replaced {
         let lost = shard
@@ -132,16 +140,16 @@
     violations
 }
 
-fn check_end(name: &Shard, shard: &ShardHistory, end_us: u64) -> Option<Violation> {
+fn check_final_state(name: &Shard, shard: &ShardHistory, end_us: u64) -> Option<Violation> {
     let (latest, (_, position)) = shard.acknowledged.last_key_value()?;
-    let believed = shard.believed.values().max().copied().unwrap_or(Epoch(0));
-    (believed < *latest).then(|| {
+    let applied = shard.applied.values().max().copied().unwrap_or(Epoch(0));
+    (applied < *latest).then(|| {
         violation(
             end_us,
             vec![*position],
             format!(
-                "acknowledged epoch {latest} of {}/{} is held by no replica at the end, which know {}",
-                *name.0, name.1, believed
+                "acknowledged epoch {latest} of {}/{} is held by no replica at the end; the latest epoch held is {}",
+                *name.0, name.1, applied
             ),
         )
     })
@@ -156,7 +164,7 @@
     }
 }
 
-fn server_text(server: &Option<ServerName>) -> &str {
+fn server_label(server: &Option<ServerName>) -> &str {
     server
         .as_ref()
         .map_or("no server", |server| server.as_str())
--- a/crates/check/src/promises/at_most_once.rs
+++ b/crates/check/src/promises/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated runs at most once.
+//! Checks that a request that may not be repeated runs at most once.
 
 use std::collections::BTreeMap;
 
--- a/crates/check/src/promises/bundles.rs
+++ b/crates/check/src/promises/bundles.rs
@@ -1,8 +1,9 @@
-//! An accepted bundle is in force everywhere within seconds and never reverts.
+//! Checks that an accepted bundle is in force at every router within [`CheckLimits::in_force_us`] and
+//! that no router reverts to an older one.
 //!
-//! The time counts for a router that is neither killed, frozen nor cut off, while a majority of the
-//! control group isn't either, and starts again when such a fault ends. One control replica that
-//! fails gives no extra time.
+//! The deadline applies while the router and a majority of the control replicas are neither killed,
+//! frozen nor cut off, and starts again when such a fault ends. The failure of a minority of the
+//! control replicas doesn't extend it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,53 +11,57 @@
 
 use crate::{CheckLimits, History, Located, Promise, Violation};
 
-/// A bundle that was accepted.
+/// An accepted bundle, with the time and position of its record.
 struct Accepted<'a> {
     record: &'a BundleRecord,
     at_us: u64,
     position: usize,
 }
 
-/// What a router has in force.
+/// Bundle in force at a router, and the state of the deadline for the next one.
 #[derive(Default)]
 struct Router {
+    /// Highest bundle version that has been in force.
     version: u64,
     index: u64,
     incarnation: u64,
     position: usize,
-    /// Since when the time to the latest bundle counts.
+    /// Time from which the deadline counts: the first record or the last change of a fault.
     ready_us: u64,
-    out: bool,
-    late_version: u64,
+    faulty: bool,
+    /// Latest version that was reported as late, so that each is reported once.
+    reported_version: u64,
 }
 
-/// The checker's state while it goes over a history.
-struct Progress<'a> {
+/// State of the checker while it reads a history.
+struct BundleChecker<'a> {
     limits: &'a CheckLimits,
     accepted: Vec<Accepted<'a>>,
     routers: BTreeMap<&'a RouterName, Router>,
-    out: BTreeSet<&'a str>,
+    /// Processes that are killed, frozen or cut off.
+    faulty: BTreeSet<&'a str>,
+    /// Time since which a majority of the control replicas has no fault; `None` without a majority.
     majority_since_us: Option<u64>,
     violations: Vec<Violation>,
 }
 
 pub(crate) fn check(history: &History<'_>, limits: &CheckLimits) -> Vec<Violation> {
-    let mut progress = Progress {
+    let mut checker = BundleChecker {
         limits,
         accepted: Vec::new(),
         routers: BTreeMap::new(),
-        out: BTreeSet::new(),
+        faulty: BTreeSet::new(),
         majority_since_us: Some(0),
         violations: Vec::new(),
     };
     for located in &history.records {
-        progress.find_late(located.record.at_us);
-        progress.observe(located);
+        checker.report_late_routers(located.record.at_us);
+        checker.observe(located);
     }
-    progress.violations
+    checker.violations
 }
 
-impl<'a> Progress<'a> {
+impl<'a> BundleChecker<'a> {
     fn observe(&mut self, located: &Located<'a>) {
         let at_us = located.record.at_us;
         match &located.record.event {
@@ -65,32 +70,32 @@
             HistoryEvent::Killed(name)
             | HistoryEvent::Frozen(name)
             | HistoryEvent::CutOff(name) => {
-                self.out.insert(name);
-                self.note_fault(name, at_us, true);
+                self.faulty.insert(name);
+                self.set_fault(name, at_us, true);
             }
             HistoryEvent::Returned(name) => {
-                self.out.remove(name.as_str());
-                self.note_fault(name, at_us, false);
+                self.faulty.remove(name.as_str());
+                self.set_fault(name, at_us, false);
             }
             _ => {}
         }
     }
 
-    fn note_fault(&mut self, name: &str, at_us: u64, out: bool) {
+    fn set_fault(&mut self, name: &str, at_us: u64, faulty: bool) {
         if let Some((_, router)) = self
             .routers
             .iter_mut()
             .find(|(router, _)| router.as_str() == name)
         {
-            router.out = out;
+            router.faulty = faulty;
             router.ready_us = at_us;
         }
         let prefix = self.limits.control_prefix.as_str();
         if !name.starts_with(prefix) {
             return;
         }
-        let out = self.out.iter().filter(|name| name.starts_with(prefix));
-        let majority = out.count() * 2 < self.limits.control_replicas.max(1);
+        let faulty = self.faulty.iter().filter(|name| name.starts_with(prefix));
+        let majority = faulty.count() * 2 < self.limits.control_replicas.max(1);
         match (majority, self.majority_since_us) {
             (false, _) => self.majority_since_us = None,
             (true, None) => self.majority_since_us = Some(at_us),
@@ -131,10 +136,10 @@
     }
 
     fn put_in_force(&mut self, record: &'a InForceRecord, at_us: u64, position: usize) {
-        let out = self.out.contains(record.router.as_str());
+        let faulty = self.faulty.contains(record.router.as_str());
         let router = self.routers.entry(&record.router).or_insert(Router {
             ready_us: at_us,
-            out,
+            faulty,
             incarnation: record.incarnation,
             ..Router::default()
         });
@@ -158,14 +163,14 @@
         }
     }
 
-    /// Reports routers that by now should have the latest bundle that is old enough in force.
-    fn find_late(&mut self, now_us: u64) {
+    /// Reports each router where the latest bundle whose deadline has passed is not in force.
+    fn report_late_routers(&mut self, now_us: u64) {
         let Some(majority_since_us) = self.majority_since_us else {
             return;
         };
         let limit_us = self.limits.in_force_us + self.limits.clock_tolerance_us;
         let mut late = Vec::new();
-        for (name, router) in self.routers.iter_mut().filter(|(_, router)| !router.out) {
+        for (name, router) in self.routers.iter_mut().filter(|(_, router)| !router.faulty) {
             let since_us = router.ready_us.max(majority_since_us);
             let due = self
                 .accepted
@@ -174,10 +179,10 @@
                 .find(|accepted| now_us > accepted.at_us.max(since_us) + limit_us);
             let Some(due) = due else { continue };
             let version = due.record.version;
-            if router.version < version && router.late_version < version {
-                router.late_version = version;
+            if router.version < version && router.reported_version < version {
+                router.reported_version = version;
                 let explanation = format!(
-                    "version {version} is not in force at {} after {limit_us} us, which has version {}",
+                    "version {version} is not in force at {} after {limit_us} us; version {} is",
                     name.as_str(),
                     router.version
                 );
--- a/crates/check/src/promises/leaving.rs
+++ b/crates/check/src/promises/leaving.rs
@@ -1,4 +1,6 @@
-//! A back end that is leaving receives no new work after a few seconds.
+//! Checks that a leaving back end receives no new work after [`CheckLimits::leaving_us`].
+//!
+//! The time counts from the first `Leaving` record, and a `Staying` record cancels it.
 
 use std::collections::BTreeMap;
 
--- a/crates/check/src/promises/not_run.rs
+++ b/crates/check/src/promises/not_run.rs
@@ -1,7 +1,7 @@
-//! A request that a caller was told was not run was not run.
+//! Checks that a request reported to its caller as not run was not run.
 //!
-//! Told not-run, a caller knows that no effect of the request was made by any attempt, before or
-//! after, until it sends the request again.
+//! The outcome `not-run` means that no attempt of the request had an effect before the report, and
+//! that none has one afterwards until the caller sends the request again.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 
 use crate::{CheckLimits, History, Promise, Violation};
 
-/// Times and positions of one request's records.
+/// Times of one request's attempts; times and positions of its effects and `not-run` outcomes.
 #[derive(Default)]
 struct RequestHistory {
     sent: Vec<u64>,
     effects: Vec<(u64, usize)>,
-    told: Vec<(u64, usize)>,
+    reported: Vec<(u64, usize)>,
 }
 
 pub(crate) fn check(history: &History<'_>, limits: &CheckLimits) -> Vec<Violation> {
@@ -32,30 +32,34 @@
             }
             HistoryEvent::Finished(answer) if answer.outcome == Some(Outcome::NotRun) => {
                 let request = requests.entry(&answer.request_id).or_default();
-                request.told.push((at_us, located.position));
+                request.reported.push((at_us, located.position));
             }
             _ => {}
         }
     }
     requests
         .iter()
-        .filter_map(|(id, request)| broken(id, request, limits))
+        .filter_map(|(id, request)| find_violation(id, request, limits))
         .collect()
 }
 
-fn broken(id: &RequestId, request: &RequestHistory, limits: &CheckLimits) -> Option<Violation> {
-    for (told_us, told) in &request.told {
+fn find_violation(
+    id: &RequestId,
+    request: &RequestHistory,
+    limits: &CheckLimits,
+) -> Option<Violation> {
+    for (reported_us, reported) in &request.reported {
         for (effect_us, effect) in &request.effects {
             let sent_again = request
                 .sent
                 .iter()
-                .any(|sent| sent >= told_us && *sent <= effect_us + limits.clock_tolerance_us);
-            if effect_us <= told_us || !sent_again {
+                .any(|sent| sent >= reported_us && *sent <= effect_us + limits.clock_tolerance_us);
+            if effect_us <= reported_us || !sent_again {
                 return Some(Violation {
                     promise: Promise::NotRun,
-                    at_us: *told_us,
-                    events: vec![*effect, *told],
-                    explanation: format!("{} was called not run and ran", id.as_str()),
+                    at_us: *reported_us,
+                    events: vec![*effect, *reported],
+                    explanation: format!("{} was reported as not run but ran", id.as_str()),
                 });
             }
         }
--- a/crates/check/src/promises/planned_stop.rs
+++ b/crates/check/src/promises/planned_stop.rs
@@ -1,7 +1,8 @@
-//! A planned stop of a back end cuts no request in flight.
+//! Checks that a planned stop of a back end cuts no request in flight.
 //!
-//! Besides the cuts that a server records itself, a request that a stopped server had taken and not
-//! ended, with its effect or without, and whose caller was left without an answer after the stop, counts as cut.
+//! A violation is a `Cut` record of the server, or a request that the server had started but not ended
+//! when it stopped (no `Effect` and no `WorkEnded` record) and whose caller got neither an answer nor
+//! a `NotRun` outcome after the stop.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +10,7 @@
 
 use crate::{CheckLimits, History, Promise, Violation};
 
-/// Requests a server has taken and not finished.
+/// Requests that a server has started and not finished, with the positions of their records.
 type Running<'a> = BTreeMap<&'a ServerName, BTreeMap<&'a RequestId, usize>>;
 
 pub(crate) fn check(history: &History<'_>, _limits: &CheckLimits) -> Vec<Violation> {
@@ -20,7 +21,9 @@
     for located in &history.records {
         let at_us = located.record.at_us;
         match &located.record.event {
-            HistoryEvent::Cut(work) => violations.push(cut(work, at_us, vec![located.position])),
+            HistoryEvent::Cut(work) => {
+                violations.push(cut_violation(work, at_us, vec![located.position]))
+            }
             HistoryEvent::WorkStarted(work) => {
                 let requests = running.entry(&work.server).or_default();
                 requests.insert(&work.request_id, located.position);
@@ -34,20 +37,20 @@
                 running.retain(|server, _| server.as_str() != name);
             }
             HistoryEvent::Stopped(server) => {
-                for (request, taken) in running.remove(server).unwrap_or_default() {
+                for (request, start_position) in running.remove(server).unwrap_or_default() {
                     if !finished.contains(request) {
-                        stopped.insert(request, (taken, located.position));
+                        stopped.insert(request, (start_position, located.position));
                     }
                 }
             }
             HistoryEvent::Finished(answer) => {
                 let request = &answer.request_id;
                 finished.insert(request);
-                let proven = matches!(answer.outcome, Some(Outcome::NotRun | Outcome::Answered));
-                if let Some((taken, stop)) = stopped.remove(request) {
-                    if !proven {
-                        let events = vec![taken, stop, located.position];
-                        violations.push(unanswered(request, at_us, events));
+                let settled = matches!(answer.outcome, Some(Outcome::NotRun | Outcome::Answered));
+                if let Some((start_position, stop_position)) = stopped.remove(request) {
+                    if !settled {
+                        let events = vec![start_position, stop_position, located.position];
+                        violations.push(unanswered_violation(request, at_us, events));
                     }
                 }
             }
@@ -57,7 +60,7 @@
     violations
 }
 
-fn cut(work: &EffectRecord, at_us: u64, events: Vec<usize>) -> Violation {
+fn cut_violation(work: &EffectRecord, at_us: u64, events: Vec<usize>) -> Violation {
     Violation {
         promise: Promise::PlannedStop,
         at_us,
@@ -70,7 +73,7 @@
     }
 }
 
-fn unanswered(request: &RequestId, at_us: u64, events: Vec<usize>) -> Violation {
+fn unanswered_violation(request: &RequestId, at_us: u64, events: Vec<usize>) -> Violation {
     Violation {
         promise: Promise::PlannedStop,
         at_us,
--- a/crates/check/src/promises/sole_ownership.rs
+++ b/crates/check/src/promises/sole_ownership.rs
@@ -1,7 +1,8 @@
-//! No key is owned by more than one server at any moment.
+//! Checks that no key is owned by more than one server at any time.
 //!
-//! Two rules: the holds of two servers on one shard never overlap, and an effect is made only by a
-//! server that holds the shard at the epoch it names.
+//! Two rules apply: the holds of two servers on one shard never overlap, and a server makes an effect
+//! only while it holds the shard at the epoch that the effect names. Both allow for
+//! [`CheckLimits::clock_tolerance_us`].
 
 use std::collections::BTreeMap;
 
@@ -12,19 +13,20 @@
 
 pub(crate) fn check(history: &History<'_>, limits: &CheckLimits) -> Vec<Violation> {
     let holds = holdings::collect(history);
-    let mut violations = overlaps(&holds, limits);
-    violations.extend(effects_outside_holds(history, &holds, limits));
+    let mut violations = overlap_violations(&holds, limits);
+    violations.extend(unowned_effect_violations(history, &holds, limits));
     violations
 }
 
-fn overlaps(holds: &Holds, limits: &CheckLimits) -> Vec<Violation> {
+fn overlap_violations(holds: &Holds, limits: &CheckLimits) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (shard, list) in holds {
-        // The hold that lasts longest of those seen so far, for each server.
+        // For each server, the hold with the latest end among those seen so far. Comparing only with
+        // the previous hold would miss an overlap with an earlier, longer one.
         let mut latest: BTreeMap<&str, &Hold> = BTreeMap::new();
         for hold in list {
             for other in latest.values() {
-                if other.server != hold.server && overlap(other, hold, limits) {
+                if other.server != hold.server && overlaps(other, hold, limits) {
                     violations.push(overlap_violation(shard, other, hold));
                 }
             }
@@ -37,7 +39,7 @@
     violations
 }
 
-fn overlap(earlier: &Hold, later: &Hold, limits: &CheckLimits) -> bool {
+fn overlaps(earlier: &Hold, later: &Hold, limits: &CheckLimits) -> bool {
     let begin = earlier.from_us.max(later.from_us);
     let end = earlier.until_us.min(later.until_us);
     end.saturating_sub(begin) > limits.clock_tolerance_us
@@ -62,7 +64,7 @@
     }
 }
 
-fn effects_outside_holds(
+fn unowned_effect_violations(
     history: &History<'_>,
     holds: &Holds,
     limits: &CheckLimits,
@@ -73,7 +75,7 @@
             continue;
         };
         let at_us = located.record.at_us;
-        if !held(holds, effect, at_us, limits) {
+        if !is_held(holds, effect, at_us, limits) {
             violations.push(Violation {
                 promise: Promise::SoleOwnership,
                 at_us,
@@ -92,7 +94,7 @@
     violations
 }
 
-fn held(holds: &Holds, effect: &EffectRecord, at_us: u64, limits: &CheckLimits) -> bool {
+fn is_held(holds: &Holds, effect: &EffectRecord, at_us: u64, limits: &CheckLimits) -> bool {
     let shard = (effect.service.clone(), effect.shard);
     let Some(list) = holds.get(&shard) else {
         return false;
--- a/crates/check/src/promises/whole_answer.rs
+++ b/crates/check/src/promises/whole_answer.rs
@@ -1,4 +1,4 @@
-//! A caller receives the whole answer to its own request.
+//! Checks that a caller receives the whole answer to its own request.
 
 use grebepin_schema::{CallerAnswer, HistoryEvent, Outcome};
 
@@ -10,7 +10,7 @@
         let HistoryEvent::Finished(answer) = &located.record.event else {
             continue;
         };
-        if let Some(explanation) = fault(answer) {
+        if let Some(explanation) = describe_fault(answer) {
             violations.push(Violation {
                 promise: Promise::WholeAnswer,
                 at_us: located.record.at_us,
@@ -22,7 +22,7 @@
     violations
 }
 
-fn fault(answer: &CallerAnswer) -> Option<String> {
+fn describe_fault(answer: &CallerAnswer) -> Option<String> {
     let request = answer.request_id.as_str();
     if let Some(answer_for) = &answer.answer_for {
         if *answer_for != answer.request_id {
@@ -36,5 +36,5 @@
     if answer.answer_for.is_none() {
         return Some(format!("the answer to {request} does not name its request"));
     }
-    (answer.whole != Some(true)).then(|| format!("the answer to {request} was not whole"))
+    (answer.whole != Some(true)).then(|| format!("the answer to {request} was incomplete"))
 }
--- a/crates/check/src/reader.rs
+++ b/crates/check/src/reader.rs
@@ -1,47 +1,47 @@
-//! Reads histories of JSON lines one record at a time.
+//! Streaming reader for histories in the JSON Lines format.
 
 use std::io::{BufRead, Read};
 
 use grebepin_schema::HistoryRecord;
 
-/// Longest line of a history in bytes.
+/// Maximum length of a line of a history in bytes, including its line break.
 pub const MAXIMUM_LINE_BYTES: usize = 64 << 10;
 
 /// Why a history could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// Reading failed.
+    /// The underlying reader failed.
     #[error("line {line}: {source}")]
     Io {
-        /// Line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// Cause.
+        /// Error of the underlying reader.
         source: std::io::Error,
     },
     /// A line is longer than [`MAXIMUM_LINE_BYTES`].
     #[error("line {line}: longer than {MAXIMUM_LINE_BYTES} bytes")]
     TooLong {
-        /// Line, from 1.
+        /// Line number, starting at 1.
         line: usize,
     },
-    /// A line is no record.
+    /// A line is not a valid history record.
     #[error("line {line}: {source}")]
     Parse {
-        /// Line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// Cause.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// Iterator over the records of a history; empty lines are left out.
+/// Iterator over the records of a history. Skips blank lines and ends after the first error.
 pub struct HistoryReader<R> {
     reader: R,
     line: usize,
     failed: bool,
 }
 
-/// Reads the records of a history, one a line of JSON. Stops at the first error.
+/// Reads a history with one JSON record per line.
 pub fn read_history<R: BufRead>(reader: R) -> HistoryReader<R> {
     HistoryReader {
         reader,
--- a/crates/check/src/report.rs
+++ b/crates/check/src/report.rs
@@ -1,19 +1,19 @@
-//! What the checkers say.
+//! Report of a check: violations of promises, and counts of the records.
 
 use grebepin_schema::{HistoryEvent, HistoryRecord, Outcome};
 use serde::Serialize;
 
-/// A promise to the users.
+/// A guarantee that the product gives to its users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Promise {
-    /// No key is owned by more than one server at any moment.
+    /// No key is owned by more than one server at any time.
     SoleOwnership,
-    /// An acknowledged assignment survives.
+    /// An acknowledged assignment is never lost.
     AssignmentSurvives,
     /// A caller receives the whole answer to its own request.
     WholeAnswer,
-    /// A request that was called not run was not run.
+    /// A request that was reported as not run was not run.
     NotRun,
     /// A request that may not be repeated runs at most once.
     AtMostOnce,
@@ -26,7 +26,7 @@
 }
 
 impl Promise {
-    /// Every promise, in the order of the users' list.
+    /// Every promise, in the order in which the documentation lists them.
     pub const ALL: [Promise; 8] = [
         Promise::SoleOwnership,
         Promise::AssignmentSurvives,
@@ -38,7 +38,7 @@
         Promise::BundleInForce,
     ];
 
-    /// Name in reports.
+    /// Name of the promise in reports; the same as its serialized form.
     pub fn name(self) -> &'static str {
         match self {
             Promise::SoleOwnership => "sole-ownership",
@@ -59,64 +59,65 @@
     }
 }
 
-/// One broken promise.
+/// One violation of a promise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// Promise that was broken.
     pub promise: Promise,
-    /// When, in microseconds on the run's clock.
+    /// Time of the violation in microseconds on the clock of the run.
     pub at_us: u64,
-    /// Positions of the records that show it.
+    /// Indices of the records that show the violation.
     pub events: Vec<usize>,
-    /// What happened, for people.
+    /// Human-readable description.
     pub explanation: String,
 }
 
-/// What a history holds, so that a report without violations can be told from one without work.
+/// Counts of the records of a history. They distinguish a run without violations from a run in which
+/// nothing happened.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Records.
+    /// All records.
     pub records: u64,
     /// Holds of a shard that began.
     pub acquired: u64,
-    /// Effects made visible.
+    /// Requests whose effect became visible.
     pub effects: u64,
-    /// Attempts of callers.
+    /// Attempts that callers sent.
     pub sent: u64,
-    /// Attempts answered.
+    /// Attempts that were answered.
     pub answered: u64,
-    /// Attempts called not run.
+    /// Attempts that were reported as not run.
     pub not_run: u64,
-    /// Attempts of unknown outcome.
+    /// Attempts reported with an unknown outcome.
     pub unknown: u64,
-    /// Attempts without an answer.
+    /// Attempts that ended without an answer.
     pub unanswered: u64,
-    /// Assignments acknowledged.
+    /// Acknowledgements of assignments.
     pub acknowledged: u64,
-    /// Bundles accepted.
+    /// Acceptances of bundles.
     pub accepted: u64,
-    /// Tables put in force.
+    /// Routing tables put in force by routers.
     pub in_force: u64,
-    /// Faults.
+    /// Injected faults: processes killed, frozen or cut off.
     pub faults: u64,
 }
 
-/// The outcome of a check.
+/// Result of a check.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// Broken promises, in the order of their times.
+    /// Violations, sorted by time.
     pub violations: Vec<Violation>,
-    /// What the history holds.
+    /// Counts of the records that were checked.
     pub counts: Counts,
 }
 
 impl Report {
-    /// Whether every promise was kept.
+    /// Whether there are no violations.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 
-    /// Whether this promise was broken.
+    /// Whether there is a violation of `promise`.
     pub fn breaks(&self, promise: Promise) -> bool {
         self.violations
             .iter()
--- a/crates/check/tests/promises.rs
+++ b/crates/check/tests/promises.rs
@@ -6,7 +6,7 @@
 use grebepin_schema::{HistoryEvent, Outcome};
 use support::*;
 
-/// A history, by milliseconds, and the promise that it breaks.
+/// Title, events with their times in milliseconds, and the promise that the history breaks, if any.
 type Case = (&'static str, Vec<(u64, HistoryEvent)>, Option<Promise>);
 
 fn run(cases: Vec<Case>) {
@@ -59,8 +59,8 @@
         ("an assignment nobody acknowledged is replaced", vec![(1, believed("a", 5, Some(0))), (2, believed("b", 9, Some(3)))], None),
         ("two owners of one epoch", vec![(1, believed("a", 5, None)), (2, believed("b", 5, None))], broken),
         ("lost and replaced", vec![(1, believed("a", 5, Some(3))), (1, acknowledged("a", 5)), (2, believed("b", 9, Some(3)))], broken),
-        ("forgotten and learnt again", vec![(1, believed("a", 5, None)), (1, acknowledged("a", 5)), (2, forgot()), (3, believed("a", 5, None))], None),
-        ("forgotten", vec![(1, believed("a", 5, None)), (1, acknowledged("a", 5)), (2, forgot())], broken),
+        ("forgotten and learnt again", vec![(1, believed("a", 5, None)), (1, acknowledged("a", 5)), (2, lost_state()), (3, believed("a", 5, None))], None),
+        ("forgotten", vec![(1, believed("a", 5, None)), (1, acknowledged("a", 5)), (2, lost_state())], broken),
         ("lost for good", vec![(1, acknowledged("a", 5)), (2, believed("b", 3, None))], broken),
         ("acknowledged backwards", vec![(1, acknowledged("b", 9)), (1, believed("b", 9, None)), (2, acknowledged("a", 5))], broken),
     ]);
@@ -86,16 +86,16 @@
 #[rustfmt::skip]
 fn not_run() {
     let broken = Some(Promise::NotRun);
-    let told = Some(Outcome::NotRun);
+    let not_run = Some(Outcome::NotRun);
     let held = || (0, acquired("a", 1));
     run(vec![
-        ("not run", vec![held(), (1, sent("r", 1)), (2, finished("r", 1, told))], None),
-        ("sent again after that", vec![held(), (1, sent("r", 1)), (2, finished("r", 1, told)), (3, sent("r", 2)), (4, effect("a", 1, "r"))], None),
+        ("not run", vec![held(), (1, sent("r", 1)), (2, finished("r", 1, not_run))], None),
+        ("sent again after that", vec![held(), (1, sent("r", 1)), (2, finished("r", 1, not_run)), (3, sent("r", 2)), (4, effect("a", 1, "r"))], None),
         ("ran and was answered", vec![held(), (1, sent("r", 1)), (2, effect("a", 1, "r")), (3, finished("r", 1, Some(Outcome::Answered)))], None),
         ("unknown and ran", vec![held(), (1, sent("r", 1)), (2, effect("a", 1, "r")), (3, finished("r", 1, Some(Outcome::Unknown)))], None),
-        ("ran before", vec![held(), (1, sent("r", 1)), (2, effect("a", 1, "r")), (3, finished("r", 1, told))], broken),
-        ("ran later", vec![held(), (1, sent("r", 1)), (2, finished("r", 1, told)), (3, effect("a", 1, "r"))], broken),
-        ("the first attempt ran", vec![held(), (1, sent("r", 1)), (2, effect("a", 1, "r")), (3, finished("r", 1, None)), (4, sent("r", 2)), (5, finished("r", 2, told))], broken),
+        ("ran before", vec![held(), (1, sent("r", 1)), (2, effect("a", 1, "r")), (3, finished("r", 1, not_run))], broken),
+        ("ran later", vec![held(), (1, sent("r", 1)), (2, finished("r", 1, not_run)), (3, effect("a", 1, "r"))], broken),
+        ("the first attempt ran", vec![held(), (1, sent("r", 1)), (2, effect("a", 1, "r")), (3, finished("r", 1, None)), (4, sent("r", 2)), (5, finished("r", 2, not_run))], broken),
     ]);
 }
 
--- a/crates/check/tests/reading.rs
+++ b/crates/check/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Reading histories, counting and measuring them.
+//! Reading histories, and the counts and measures computed from them.
 
 mod support;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_written_history_is_read_back() {
+fn a_serialized_history_is_read_back() {
     let lines: Vec<String> = sample()
         .iter()
         .map(|record| serde_json::to_string(record).expect("encodes"))
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_bad_line_is_named_and_ends_the_history() {
+fn an_invalid_line_is_reported_and_ends_the_history() {
     let good = serde_json::to_string(&sample()[0]).expect("encodes");
     let read: Vec<_> = read_history(format!("{good}\nrubbish\n{good}\n").as_bytes()).collect();
     assert_eq!(read.len(), 2);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_recording_by_several_processes_may_be_off_by_the_tolerance() {
+fn overlaps_within_the_clock_tolerance_are_accepted() {
     let mut records = vec![at(1, acquired("a", 1)), at(5, acquired("b", 2))];
     records.push(HistoryRecord {
         at_us: 6_000,
--- a/crates/check/tests/support/mod.rs
+++ b/crates/check/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to write histories.
+//! Constructors for history records.
 #![allow(dead_code)]
 
 use grebepin_schema::*;
@@ -121,7 +121,7 @@
     HistoryEvent::Acknowledged(assignment(server, epoch, None))
 }
 
-/// A belief of another replica than the others.
+/// An assignment applied by replica 2; the other constructors record replica 1.
 pub fn believed_by_follower(server: &str, epoch: u64) -> HistoryEvent {
     let record = assignment(server, epoch, None);
     HistoryEvent::Believed(AssignmentRecord {
@@ -130,7 +130,7 @@
     })
 }
 
-pub fn forgot() -> HistoryEvent {
+pub fn lost_state() -> HistoryEvent {
     let record = assignment("a", 0, None);
     HistoryEvent::Believed(AssignmentRecord {
         server: None,
