--- a/crates/standin/src/back_end/arguments.rs
+++ b/crates/standin/src/back_end/arguments.rs
@@ -1,89 +1,89 @@
-//! Flags of a stand-in back end.
+//! Command line flags of the simulated back end.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use grebepin_schema::ServerName;
 
-/// How service times spread around their mean.
+/// Distribution of service times around their mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum ServiceDistribution {
     /// Always the mean.
     Fixed,
-    /// Evenly between half the mean and one and a half times it.
+    /// Uniform between 0.5 and 1.5 times the mean.
     Uniform,
-    /// Exponential.
+    /// Exponential with the given mean.
     Exponential,
 }
 
-/// What the load and health answers say in place of the truth.
+/// False state that the load and health answers report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Lie {
-    /// The truth.
+pub enum FalseReport {
+    /// Reports the real state.
     None,
-    /// Nothing to do, healthy.
+    /// Reports no load and good health.
     Idle,
-    /// Every slot taken, many waiting.
+    /// Reports that all slots are taken and many requests wait, and good health.
     Busy,
-    /// Not able to serve.
+    /// Reports failing health and the load of `busy`.
     Failing,
 }
 
-/// Flags of a stand-in back end.
+/// Flags of the simulated back end.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Name of the server, as in the bundle.
+    /// Name of the server in the bundle.
     #[arg(long)]
     pub name: ServerName,
     /// Address to listen on.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// File that receives a line of JSON for each effect and change of what is held.
+    /// History file, to which a JSON line is appended for each effect and change of held shards.
     #[arg(long)]
     pub history: Option<PathBuf>,
-    /// Requests run at once.
+    /// Maximum number of requests that run at the same time.
     #[arg(long, default_value_t = 2)]
     pub slots: usize,
-    /// Requests that may wait for a slot; one more is shed.
+    /// Maximum number of requests that wait for a slot. Further requests are shed.
     #[arg(long, default_value_t = 20)]
     pub waiting: usize,
-    /// Connections open at once; one more is closed.
+    /// Maximum number of open connections. Further connections are closed.
     #[arg(long, default_value_t = 100)]
     pub connections: usize,
-    /// Mean time that one request takes, in ms.
+    /// Mean service time of a request, in ms.
     #[arg(long, default_value_t = 2.0)]
     pub service_ms: f64,
-    /// How service times spread.
+    /// Distribution of the service times.
     #[arg(long, value_enum, default_value_t = ServiceDistribution::Fixed)]
     pub service_distribution: ServiceDistribution,
     /// Seed of the service times.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How long the server is cold after its start, in ms.
+    /// Duration of the cold phase after the start, in ms.
     #[arg(long, default_value_t = 0)]
     pub cold_ms: u64,
-    /// How many times longer a request takes at the start of the cold time; it falls evenly to 1.
+    /// Factor on the service time at the start of the cold phase; falls linearly to 1 at its end.
     #[arg(long, default_value_t = 4.0)]
     pub cold_factor: f64,
-    /// Network time of each direction, in ms.
+    /// Simulated one-way network delay, in ms.
     #[arg(long, default_value_t = 0.0)]
     pub delay_ms: f64,
-    /// Time that a new connection takes, in ms.
+    /// Delay of accepting a connection, in ms.
     #[arg(long, default_value_t = 0.0)]
     pub connect_ms: f64,
-    /// Time that a health or load answer takes, in ms.
+    /// Delay of health and load answers, in ms.
     #[arg(long, default_value_t = 0.0)]
     pub probe_ms: f64,
-    /// What load and health answers say in place of the truth.
-    #[arg(long, value_enum, default_value_t = Lie::None)]
-    pub lie: Lie,
-    /// Age of what load answers say, in ms.
+    /// False state that the load and health answers report.
+    #[arg(long, value_enum, default_value_t = FalseReport::None)]
+    pub lie: FalseReport,
+    /// Age of the state that load answers report, in ms.
     #[arg(long, default_value_t = 0)]
     pub report_lag_ms: u64,
-    /// Size of an answer's body in bytes, at least.
+    /// Minimum size of an answer's body in bytes.
     #[arg(long, default_value_t = 0)]
     pub answer_bytes: usize,
-    /// Longest time of a planned stop, in ms; what still runs then is cut.
+    /// Time limit of a planned stop, in ms. Requests that still run then are cut.
     #[arg(long, default_value_t = 15_000)]
     pub stop_ms: u64,
 }
--- a/crates/standin/src/back_end/control_api.rs
+++ b/crates/standin/src/back_end/control_api.rs
@@ -1,4 +1,4 @@
-//! The contract's control calls, and the switches of the stand-in.
+//! The control calls of the contract, and the calls that inject faults.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 
 use super::node::Node;
-use super::Lie;
+use super::FalseReport;
 use crate::http::{Answer, Question};
 use crate::milliseconds;
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Starts or ends leaving, and records it.
+    /// Starts or ends draining, and records a change.
     pub(crate) fn drain(&self, draining: bool) {
         let name = self.arguments.name.clone();
         let event = match draining {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// `POST /stand-in/freeze?ms=N` and `POST /stand-in/lie?mode=none|idle|busy|failing`.
-    pub(crate) fn answer_switch(&self, question: &Question) -> Answer {
-        self.switch(question).at_once()
+    /// Serves `POST /stand-in/freeze?ms=N` and `POST /stand-in/lie?mode=none|idle|busy|failing`.
+    pub(crate) fn answer_fault_call(&self, question: &Question) -> Answer {
+        self.inject_fault(question).at_once()
     }
 
-    fn switch(&self, question: &Question) -> Answer {
+    fn inject_fault(&self, question: &Question) -> Answer {
         match (question.method.as_str(), question.path.as_str()) {
             ("POST", "/stand-in/freeze") => match question.parsed("ms") {
                 Some(time) => {
@@ -75,9 +75,9 @@
             },
             ("POST", "/stand-in/lie") => {
                 let mode = question.parameter("mode").unwrap_or_default();
-                match Lie::from_str(&mode, true) {
-                    Ok(lie) => {
-                        self.faults.set_lie(lie);
+                match FalseReport::from_str(&mode, true) {
+                    Ok(report) => {
+                        self.faults.set_false_report(report);
                         Answer::text(200, "set")
                     }
                     Err(_) => Answer::text(400, "mode is none, idle, busy or failing"),
--- a/crates/standin/src/back_end/faults.rs
+++ b/crates/standin/src/back_end/faults.rs
@@ -1,41 +1,41 @@
-//! Faults that can be switched on: a freeze, and misleading reports.
+//! Fault injection: freezing the server, and false health and load reports.
 //!
-//! Invariant: a frozen server reads, writes and changes nothing, while its clock goes on.
+//! Invariant: a frozen server reads, writes and changes nothing, but its clock continues.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use super::Lie;
+use super::FalseReport;
 use crate::lock;
 
-/// Longest freeze.
-const LONGEST_FREEZE: Duration = Duration::from_secs(600);
+/// Maximum duration of a freeze.
+const MAXIMUM_FREEZE: Duration = Duration::from_secs(600);
 
-/// Switches of one server.
+/// Injected faults of one server.
 #[derive(Debug)]
 pub(crate) struct Faults {
     frozen_until: Mutex<Option<Instant>>,
-    thawed: Condvar,
-    lie: Mutex<Lie>,
+    unfrozen: Condvar,
+    false_report: Mutex<FalseReport>,
 }
 
 impl Faults {
-    pub(crate) fn new(lie: Lie) -> Self {
+    pub(crate) fn new(false_report: FalseReport) -> Self {
         Self {
             frozen_until: Mutex::new(None),
-            thawed: Condvar::new(),
-            lie: Mutex::new(lie),
+            unfrozen: Condvar::new(),
+            false_report: Mutex::new(false_report),
         }
     }
 
-    /// Freezes the server for `time` from now; zero thaws it.
+    /// Freezes the server for `time` from now. Zero ends a freeze.
     pub(crate) fn freeze(&self, time: Duration) {
-        let until = Instant::now() + time.min(LONGEST_FREEZE);
+        let until = Instant::now() + time.min(MAXIMUM_FREEZE);
         *lock(&self.frozen_until) = Some(until);
-        self.thawed.notify_all();
+        self.unfrozen.notify_all();
     }
 
-    /// Waits while the server is frozen.
+    /// Blocks while the server is frozen.
     pub(crate) fn wait_while_frozen(&self) {
         let mut until = lock(&self.frozen_until);
         while let Some(end) = *until {
@@ -44,16 +44,16 @@
                 *until = None;
                 return;
             }
-            let waited = self.thawed.wait_timeout(until, left);
-            until = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let wait_result = self.unfrozen.wait_timeout(until, left);
+            until = wait_result.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    pub(crate) fn lie(&self) -> Lie {
-        *lock(&self.lie)
+    pub(crate) fn false_report(&self) -> FalseReport {
+        *lock(&self.false_report)
     }
 
-    pub(crate) fn set_lie(&self, lie: Lie) {
-        *lock(&self.lie) = lie;
+    pub(crate) fn set_false_report(&self, false_report: FalseReport) {
+        *lock(&self.false_report) = false_report;
     }
 }
--- a/crates/standin/src/back_end/handover.rs
+++ b/crates/standin/src/back_end/handover.rs
@@ -1,6 +1,6 @@
-//! Fetches the records of shards from their previous owners, in the background.
+//! Fetches the records of shards from their previous owners, in background threads.
 //!
-//! Invariant: every fetch that requests wait for ends, with a record or without.
+//! Invariant: every fetch that requests wait for completes, with or without a record.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -14,53 +14,54 @@
 
 use super::node::Node;
 
-/// Fetches under way at once.
+/// Number of threads for urgent fetches.
 const WORKERS: usize = 4;
 
-/// Longest time of one fetch.
-const FETCH_TIME: Duration = Duration::from_millis(1000);
+/// Timeout of one fetch.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long a server that did not answer is not asked again by the same worker.
-const DEAF_TIME: Duration = Duration::from_secs(2);
+/// Time for which a worker doesn't call a server again that failed to answer.
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Pause before a lost owner is asked again for a record.
-const LATE_PAUSE: Duration = Duration::from_secs(2);
+/// Interval at which a lost owner is asked again for a record.
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Where fetches go: those that requests wait for, and those from lost owners.
+/// Sending ends of the fetch queues: `urgent` for fetches that requests wait for, `retry` for fetches
+/// from lost owners and failed fetches.
 #[derive(Clone, Debug)]
 pub(crate) struct FetchQueues {
     urgent: Sender<HandoverFetch>,
-    late: Sender<HandoverFetch>,
+    retry: Sender<HandoverFetch>,
 }
 
-/// The other end of the queues.
+/// Receiving ends of the fetch queues.
 #[derive(Clone, Debug)]
 pub(crate) struct FetchReceivers {
     urgent: Receiver<HandoverFetch>,
-    late: Receiver<HandoverFetch>,
+    retry: Receiver<HandoverFetch>,
 }
 
 impl FetchQueues {
     pub(crate) fn new() -> (Self, FetchReceivers) {
         let (urgent, urgent_receiver) = crossbeam_channel::unbounded();
-        let (late, late_receiver) = crossbeam_channel::unbounded();
+        let (retry, retry_receiver) = crossbeam_channel::unbounded();
         let receivers = FetchReceivers {
             urgent: urgent_receiver,
-            late: late_receiver,
+            retry: retry_receiver,
         };
-        (Self { urgent, late }, receivers)
+        (Self { urgent, retry }, receivers)
     }
 
     pub(crate) fn put(&self, fetch: HandoverFetch) {
         let queue = match fetch.previous.released {
             true => &self.urgent,
-            false => &self.late,
+            false => &self.retry,
         };
         queue.send(fetch).ok();
     }
 }
 
-/// Starts the threads that fetch records; they end with the node.
+/// Starts the threads that fetch records. They end when the node is dropped.
 pub(crate) fn start_workers(node: &Arc<Node>, fetches: &FetchReceivers) -> io::Result<()> {
     for _ in 0..WORKERS {
         let (node, fetches) = (Arc::downgrade(node), fetches.urgent.clone());
@@ -68,48 +69,49 @@
             .name("handover".into())
             .spawn(move || Worker::new().run(&node, &fetches))?;
     }
-    let (node, fetches) = (Arc::downgrade(node), fetches.late.clone());
+    let (node, fetches) = (Arc::downgrade(node), fetches.retry.clone());
     std::thread::Builder::new()
         .name("late-handover".into())
-        .spawn(move || Worker::new().run_late(&node, &fetches))?;
+        .spawn(move || Worker::new().run_retries(&node, &fetches))?;
     Ok(())
 }
 
 struct Worker {
     agent: ureq::Agent,
-    deaf_until: BTreeMap<SocketAddress, Instant>,
+    unresponsive_until: BTreeMap<SocketAddress, Instant>,
 }
 
 impl Worker {
     fn new() -> Self {
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(FETCH_TIME))
+            .timeout_global(Some(FETCH_TIMEOUT))
             .proxy(None)
             .build();
         Self {
             agent: config.into(),
-            deaf_until: BTreeMap::new(),
+            unresponsive_until: BTreeMap::new(),
         }
     }
 
-    /// Fetches what requests wait for, once; what fails is tried again among the late ones.
+    /// Performs urgent fetches, once each, and passes them on to the retry queue, which drops those whose
+    /// record is no longer wanted.
     fn run(mut self, node: &Weak<Node>, fetches: &Receiver<HandoverFetch>) {
         for fetch in fetches {
             let answer = self.fetch(&fetch);
             let Some(node) = node.upgrade() else {
                 return;
             };
-            hand_in(&node, &fetch, answer.as_ref());
-            node.fetches.late.send(fetch).ok();
+            complete_fetch(&node, &fetch, answer.as_ref());
+            node.fetches.retry.send(fetch).ok();
         }
     }
 
-    /// Asks lost owners for their records until they answer or nobody wants the record any more.
-    fn run_late(mut self, node: &Weak<Node>, fetches: &Receiver<HandoverFetch>) {
+    /// Repeats fetches until the record has been received or is no longer is_wanted.
+    fn run_retries(mut self, node: &Weak<Node>, fetches: &Receiver<HandoverFetch>) {
         let mut waiting: VecDeque<(Instant, HandoverFetch)> = VecDeque::new();
         loop {
             let due = waiting.front().map(|(due, _)| *due);
-            let pause = due.map_or(LATE_PAUSE, |due| {
+            let pause = due.map_or(RETRY_INTERVAL, |due| {
                 due.saturating_duration_since(Instant::now())
             });
             let next = match fetches.recv_timeout(pause) {
@@ -120,28 +122,29 @@
             let Some(fetch) = next else {
                 continue;
             };
-            if !wanted(node, &fetch) {
+            if !is_wanted(node, &fetch) {
                 continue;
             }
             let answer = self.fetch(&fetch);
             let Some(node) = node.upgrade() else {
                 return;
             };
-            hand_in(&node, &fetch, answer.as_ref());
-            waiting.push_back((Instant::now() + LATE_PAUSE, fetch));
+            complete_fetch(&node, &fetch, answer.as_ref());
+            waiting.push_back((Instant::now() + RETRY_INTERVAL, fetch));
         }
     }
 
     fn fetch(&mut self, fetch: &HandoverFetch) -> Option<HandoverAnswer> {
         let address = &fetch.previous.address;
         let now = Instant::now();
-        self.deaf_until.retain(|_, until| *until > now);
-        if self.deaf_until.contains_key(address) {
+        self.unresponsive_until.retain(|_, until| *until > now);
+        if self.unresponsive_until.contains_key(address) {
             return None;
         }
         let answer = self.ask(fetch);
         if answer.is_none() {
-            self.deaf_until.insert(address.clone(), now + DEAF_TIME);
+            self.unresponsive_until
+                .insert(address.clone(), now + UNRESPONSIVE_BACKOFF);
         }
         answer
     }
@@ -166,12 +169,12 @@
     }
 }
 
-fn wanted(node: &Weak<Node>, fetch: &HandoverFetch) -> bool {
+fn is_wanted(node: &Weak<Node>, fetch: &HandoverFetch) -> bool {
     node.upgrade()
         .is_some_and(|node| node.with_holder(|holder, now| holder.wants_record(now, &fetch.shard)))
 }
 
-fn hand_in(node: &Node, fetch: &HandoverFetch, answer: Option<&HandoverAnswer>) {
+fn complete_fetch(node: &Node, fetch: &HandoverFetch, answer: Option<&HandoverAnswer>) {
     node.faults.wait_while_frozen();
     node.with_holder(|holder, now| holder.complete_handover(now, &fetch.shard, answer));
 }
--- a/crates/standin/src/back_end/mod.rs
+++ b/crates/standin/src/back_end/mod.rs
@@ -1,7 +1,8 @@
-//! Stand-in back end: slots, service time, cold start, load shedding, drain, cancellation, faults.
+//! Simulated back end with a concurrency limit, service times, cold start, load shedding, drain,
+//! cancellation and faults.
 //!
-//! Invariant: every effect is in the history file before its answer leaves, and an effect is made
-//! only after [`grebepin_holder::Holder::before_effect`] allowed it, under the same lock.
+//! Invariants: an effect is written to the history before its answer is sent, and it is made only
+//! after [`grebepin_holder::Holder::before_effect`] allowed it, under the same lock.
 
 mod arguments;
 mod control_api;
@@ -21,22 +22,22 @@
 use grebepin_schema::HistoryEvent;
 use grebepin_telemetry::{event, Event};
 
-pub use arguments::{Args, Lie, ServiceDistribution};
+pub use arguments::{Args, FalseReport, ServiceDistribution};
 pub use serving::AnswerBody;
 
 use crate::http::{HttpServer, ServerOptions};
 use handover::FetchQueues;
 use node::Node;
 
-/// Why a stand-in could not start.
+/// Reasons why a back end could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum BackEndError {
-    /// The address can't be listened on.
+    /// Binding the listener failed.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// Address from the flags.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The history file can't be opened.
@@ -47,24 +48,26 @@
     Start(io::Error),
 }
 
-/// A back end running in this process.
+/// A back end that runs in this process.
 pub struct BackEnd {
     server: HttpServer<Arc<Node>>,
 }
 
 impl BackEnd {
-    /// Starts to listen and serve.
+    /// Starts listening and serving.
     ///
     /// # Errors
-    /// The address, the history file or a thread can't be had.
+    /// Fails if the address can't be listened on, the history file can't be opened or a thread can't be
+    /// started.
     pub fn start(arguments: &Args) -> Result<Self, BackEndError> {
         Self::start_guarded(arguments, Guards::all())
     }
 
-    /// As [`start`](Self::start), without one of the guards.
+    /// Starts a back end with one safety check of the holder disabled, to test that its absence is
+    /// detected.
     ///
     /// # Errors
-    /// As [`start`](Self::start).
+    /// Fails as [`start`](Self::start) does.
     #[cfg(feature = "removable-guards")]
     pub fn start_without(
         arguments: &Args,
@@ -80,7 +83,7 @@
         let (queues, fetches) = FetchQueues::new();
         let node = Node::new(arguments, guards, queues).map_err(BackEndError::History)?;
         let node = Arc::new(node);
-        // A start ends an earlier leaving.
+        // A restart cancels an earlier drain.
         node.record(HistoryEvent::Staying(arguments.name.clone()));
         handover::start_workers(&node, &fetches).map_err(BackEndError::Start)?;
         stop::start_ticker(&node).map_err(BackEndError::Start)?;
@@ -98,22 +101,22 @@
         Ok(Self { server })
     }
 
-    /// Where it listens.
+    /// Address that the back end listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Leaves as planned: drains, waits until its shards are released and their records fetched,
-    /// finishes what runs and closes. Returns the requests that were cut.
+    /// Performs a planned stop: drains, waits until the shards are released and their records have been
+    /// fetched, finishes the running requests and closes. Returns the number of requests cut.
     pub fn stop(&self) -> u32 {
         stop::planned_stop(&self.server)
     }
 }
 
-/// Runs a back end until SIGTERM or SIGINT, then stops it as planned.
+/// Runs a back end until SIGTERM or SIGINT, then performs a planned stop.
 ///
 /// # Errors
-/// It can't start.
+/// Fails if the back end can't start.
 pub fn run(arguments: &Args) -> Result<(), BackEndError> {
     use signal_hook::consts::{SIGINT, SIGTERM};
     let mut signals =
--- a/crates/standin/src/back_end/node.rs
+++ b/crates/standin/src/back_end/node.rs
@@ -1,6 +1,6 @@
-//! State of one stand-in back end, shared by its threads.
+//! State of one simulated back end, shared by its threads.
 //!
-//! Invariant: changes of what is held are recorded in the order in which they were made.
+//! Invariant: changes of the held shards are recorded in the order in which they were made.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,18 +15,18 @@
 use super::faults::Faults;
 use super::handover::FetchQueues;
 use super::slots::Slots;
-use super::{Args, Lie};
+use super::{Args, FalseReport};
 use crate::history::HistoryWriter;
 use crate::http::{Answer, Question, ServerHooks};
 use crate::{lock, milliseconds};
 
-/// Boots stay below 2^53, so that any language's JSON numbers hold them.
+/// Boot ids stay below 2^53, so that JSON parsers that read numbers as doubles keep them exact.
 const BOOT_BITS: u32 = 53;
 
-/// Waiting requests in a lie.
-const LIED_WAITING: u32 = 1000;
+/// Number of waiting requests in a false report of high load.
+const FALSE_WAITING: u32 = 1000;
 
-/// One stand-in back end.
+/// One simulated back end.
 pub(crate) struct Node {
     pub(crate) arguments: Args,
     pub(crate) slots: Slots,
@@ -63,7 +63,7 @@
         self.started.elapsed()
     }
 
-    /// Runs `change` on the holder at the time it has the lock, and records what came of it.
+    /// Runs `change` on the locked holder with the current time and records the resulting changes.
     pub(crate) fn with_holder<T>(&self, change: impl FnOnce(&mut Holder, Duration) -> T) -> T {
         let mut holder = lock(&self.holder);
         let result = change(&mut holder, self.started.elapsed());
@@ -73,27 +73,27 @@
         result
     }
 
-    /// Records what happened now; a failure is logged, since nothing depends on the record.
+    /// Records an event at the current time. A failure is only logged, as nothing depends on the record.
     pub(crate) fn record(&self, event: HistoryEvent) {
         self.record_at(Instant::now(), event);
     }
 
-    /// Whether the server is still cold, and how much longer a request takes.
+    /// Factor on the service time: above 1 while the server is cold, then 1.
     pub(crate) fn cold_factor(&self) -> f64 {
         let cold = Duration::from_millis(self.arguments.cold_ms);
         let left = cold.saturating_sub(self.now());
         if left.is_zero() {
             return 1.0;
         }
-        let part = left.as_secs_f64() / cold.as_secs_f64();
-        1.0 + (self.arguments.cold_factor - 1.0) * part
+        let fraction = left.as_secs_f64() / cold.as_secs_f64();
+        1.0 + (self.arguments.cold_factor - 1.0) * fraction
     }
 
     pub(crate) fn health(&self) -> HealthState {
-        match self.faults.lie() {
-            Lie::Idle | Lie::Busy => return HealthState::Ok,
-            Lie::Failing => return HealthState::Failing,
-            Lie::None => {}
+        match self.faults.false_report() {
+            FalseReport::Idle | FalseReport::Busy => return HealthState::Ok,
+            FalseReport::Failing => return HealthState::Failing,
+            FalseReport::None => {}
         }
         if self.with_holder(|holder, _| holder.is_draining()) {
             return HealthState::Draining;
@@ -108,10 +108,10 @@
         let slots = self.arguments.slots as u32;
         let lag = Duration::from_millis(self.arguments.report_lag_ms);
         let load = self.slots.load(lag);
-        let (in_flight, waiting) = match self.faults.lie() {
-            Lie::None => (load.running as u32, load.waiting as u32),
-            Lie::Idle => (0, 0),
-            Lie::Busy | Lie::Failing => (slots, LIED_WAITING),
+        let (in_flight, waiting) = match self.faults.false_report() {
+            FalseReport::None => (load.running as u32, load.waiting as u32),
+            FalseReport::Idle => (0, 0),
+            FalseReport::Busy | FalseReport::Failing => (slots, FALSE_WAITING),
         };
         LoadAnswer {
             slots,
@@ -158,7 +158,7 @@
         self.network_delay();
         let answer = match question.path.starts_with("/grebepin/") {
             true => self.answer_control(&question),
-            false if question.path.starts_with("/stand-in/") => self.answer_switch(&question),
+            false if question.path.starts_with("/stand-in/") => self.answer_fault_call(&question),
             false => self.serve(&question),
         };
         self.network_delay();
--- a/crates/standin/src/back_end/serving.rs
+++ b/crates/standin/src/back_end/serving.rs
@@ -1,4 +1,4 @@
-//! Runs the requests of routers.
+//! Serves the requests that routers forward.
 
 use std::time::{Duration, Instant};
 
@@ -13,23 +13,23 @@
 use crate::http::{Answer, Question};
 use crate::{lock, milliseconds};
 
-/// Longest service time, whatever the distribution or the request says.
-const LONGEST_SERVICE: Duration = Duration::from_secs(60);
+/// Upper bound on the service time, for any distribution and any `work_ms` of a request.
+const MAXIMUM_SERVICE_TIME: Duration = Duration::from_secs(60);
 
-/// Body of a stand-in's answer.
+/// Body of an answer of the simulated back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AnswerBody {
     /// Server that answered.
     pub server: ServerName,
-    /// Request answered.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// Key asked.
+    /// Key of the request.
     pub key: String,
-    /// Epoch at which it ran.
+    /// Epoch at which the request ran.
     pub epoch: Epoch,
-    /// Bytes of the request's body.
+    /// Size of the request's body in bytes.
     pub body_bytes: usize,
-    /// Fills the answer up to the size asked for by a flag.
+    /// Padding up to the size that `--answer-bytes` sets.
     pub padding: String,
 }
 
@@ -68,7 +68,7 @@
     ) -> Result<(), Refusal> {
         let token = permit.token();
         lock(&self.running).insert(token, self.effect_record(request));
-        let result = self.wait_and_work(arrived, request, question, permit);
+        let result = self.execute(arrived, request, question, permit);
         lock(&self.running).remove(&token);
         if result.is_err() {
             self.record(HistoryEvent::WorkEnded(self.effect_record(request)));
@@ -76,7 +76,7 @@
         result
     }
 
-    fn wait_and_work(
+    fn execute(
         &self,
         arrived: Instant,
         request: &Request,
@@ -84,7 +84,7 @@
         permit: Permit,
     ) -> Result<(), Refusal> {
         let deadline = arrived + request.deadline_left;
-        let slot = match self.slots.take(deadline) {
+        let slot = match self.slots.acquire(deadline) {
             Ok(slot) => slot,
             Err(reason) => {
                 self.with_holder(|holder, now| holder.finish(now, permit, Effect::NotMade));
@@ -101,7 +101,7 @@
         result
     }
 
-    /// Checks again and makes the effect, which is a line in the history file.
+    /// Checks ownership and cancellation again and makes the effect, which is a record in the history.
     fn make_effect(&self, request: &Request, permit: Permit) -> Result<(), Refusal> {
         let effect = HistoryEvent::Effect(self.effect_record(request));
         self.with_holder(|holder, now| {
@@ -122,17 +122,18 @@
         })
     }
 
-    /// The mean or the request's own `work_ms`, spread and made longer while cold.
+    /// Draws a service time around the request's `work_ms` or the mean of the flags, times the cold
+    /// factor.
     fn service_time(&self, question: &Question) -> Duration {
-        let stated = question.parsed("work_ms");
-        let mean = stated.unwrap_or(self.arguments.service_ms) * self.cold_factor();
-        let chance: f64 = lock(&self.random).random();
+        let requested = question.parsed("work_ms");
+        let mean = requested.unwrap_or(self.arguments.service_ms) * self.cold_factor();
+        let sample: f64 = lock(&self.random).random();
         let time = match self.arguments.service_distribution {
             ServiceDistribution::Fixed => mean,
-            ServiceDistribution::Uniform => mean * (0.5 + chance),
-            ServiceDistribution::Exponential => mean * -(1.0 - chance).ln(),
+            ServiceDistribution::Uniform => mean * (0.5 + sample),
+            ServiceDistribution::Exponential => mean * -(1.0 - sample).ln(),
         };
-        milliseconds(time).min(LONGEST_SERVICE)
+        milliseconds(time).min(MAXIMUM_SERVICE_TIME)
     }
 
     fn effect_record(&self, request: &Request) -> EffectRecord {
--- a/crates/standin/src/back_end/slots.rs
+++ b/crates/standin/src/back_end/slots.rs
@@ -1,6 +1,6 @@
-//! Slots of a server and the bounded wait for one.
+//! Concurrency limit of a server with a bounded queue.
 //!
-//! Invariant: never more running than slots, never more waiting than the bound.
+//! Invariant: no more requests run than there are slots, and no more wait than the queue allows.
 
 use std::collections::VecDeque;
 use std::sync::{Condvar, Mutex, PoisonError};
@@ -8,19 +8,19 @@
 
 use crate::lock;
 
-/// Samples of past load that are kept for lagging reports.
-const KEPT_SAMPLES: usize = 4096;
+/// Number of past load samples that are kept for delayed load reports.
+const MAXIMUM_SAMPLES: usize = 4096;
 
-/// Why no slot was given.
+/// Reason why no slot was acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotRefusal {
-    /// Too many wait.
+    /// The queue is full.
     Full,
-    /// The deadline came first.
+    /// The deadline passed while the request was waiting.
     Deadline,
 }
 
-/// Running and waiting requests.
+/// Numbers of running and waiting requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub(crate) running: usize,
@@ -36,40 +36,40 @@
 impl State {
     fn sample(&mut self) {
         self.samples.push_back((Instant::now(), self.load));
-        if self.samples.len() > KEPT_SAMPLES {
+        if self.samples.len() > MAXIMUM_SAMPLES {
             self.samples.pop_front();
         }
     }
 }
 
-/// Slots of a server.
+/// Concurrency limiter of a server.
 #[derive(Debug)]
 pub(crate) struct Slots {
     slots: usize,
-    waiting_bound: usize,
+    maximum_waiting: usize,
     state: Mutex<State>,
     freed: Condvar,
 }
 
-/// A taken slot; free again when dropped.
+/// An acquired slot, which is freed on drop.
 pub(crate) struct Slot<'a> {
     slots: &'a Slots,
 }
 
 impl Slots {
-    pub(crate) fn new(slots: usize, waiting_bound: usize) -> Self {
+    pub(crate) fn new(slots: usize, maximum_waiting: usize) -> Self {
         Self {
             slots,
-            waiting_bound,
+            maximum_waiting,
             state: Mutex::default(),
             freed: Condvar::new(),
         }
     }
 
-    /// Waits for a slot until `deadline`.
-    pub(crate) fn take(&self, deadline: Instant) -> Result<Slot<'_>, SlotRefusal> {
+    /// Acquires a slot, waiting for it until `deadline`.
+    pub(crate) fn acquire(&self, deadline: Instant) -> Result<Slot<'_>, SlotRefusal> {
         let mut state = lock(&self.state);
-        if state.load.running >= self.slots && state.load.waiting >= self.waiting_bound {
+        if state.load.running >= self.slots && state.load.waiting >= self.maximum_waiting {
             return Err(SlotRefusal::Full);
         }
         state.load.waiting += 1;
@@ -79,8 +79,8 @@
                 state.load.waiting -= 1;
                 return Err(SlotRefusal::Deadline);
             }
-            let waited = self.freed.wait_timeout(state, left);
-            state = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let wait_result = self.freed.wait_timeout(state, left);
+            state = wait_result.unwrap_or_else(PoisonError::into_inner).0;
         }
         state.load.waiting -= 1;
         state.load.running += 1;
@@ -88,7 +88,7 @@
         Ok(Slot { slots: self })
     }
 
-    /// Load as it was `age` ago.
+    /// Returns the load as of `age` ago; no load if there is no sample that old.
     pub(crate) fn load(&self, age: Duration) -> Load {
         let state = lock(&self.state);
         if age.is_zero() {
--- a/crates/standin/src/back_end/stop.rs
+++ b/crates/standin/src/back_end/stop.rs
@@ -1,6 +1,7 @@
-//! The planned stop, and the ticker that notices lapsed leases.
+//! The planned stop, and the timer thread that detects expired leases.
 //!
-//! Invariant: a planned stop closes only once nothing runs and no shard is held, unless its time is over.
+//! Invariant: a planned stop closes the server only when nothing runs and no shard is held, or when its
+//! time limit has passed.
 
 use std::io;
 use std::sync::Arc;
@@ -12,16 +13,16 @@
 use crate::http::HttpServer;
 use crate::lock;
 
-/// How often leases are looked at without being asked.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which leases are checked for expiry in the absence of calls.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often a stopping server looks whether it may close.
-const STOP_CHECK: Duration = Duration::from_millis(20);
+/// Interval at which a stopping server checks whether it may close.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a released record waits to be fetched when nobody asks for it.
-const RECORD_PATIENCE: Duration = Duration::from_secs(3);
+/// Maximum time to wait for the records of released shards to be fetched.
+const RECORD_FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Starts the thread that notices lapsed leases; it ends with the node.
+/// Starts the thread that detects expired leases. It ends when the node is dropped.
 pub(crate) fn start_ticker(node: &Arc<Node>) -> io::Result<()> {
     let node = Arc::downgrade(node);
     let tick = move || {
@@ -29,7 +30,7 @@
             node.faults.wait_while_frozen();
             node.with_holder(|holder, now| holder.tick(now));
             drop(node);
-            std::thread::sleep(TICK);
+            std::thread::sleep(LEASE_CHECK_INTERVAL);
         }
     };
     std::thread::Builder::new()
@@ -38,7 +39,7 @@
         .map(drop)
 }
 
-/// Leaves as planned; returns the requests cut.
+/// Performs a planned stop; returns the number of requests cut.
 pub(crate) fn planned_stop(server: &HttpServer<Arc<Node>>) -> u32 {
     let node = server.hooks();
     let end = Instant::now() + Duration::from_millis(node.arguments.stop_ms);
@@ -49,8 +50,8 @@
             holder.held_shards() == 0 && holder.in_flight() == 0
         })
     });
-    let patience = end.min(Instant::now() + RECORD_PATIENCE);
-    wait_until(patience, || {
+    let fetch_end = end.min(Instant::now() + RECORD_FETCH_TIMEOUT);
+    wait_until(fetch_end, || {
         node.with_holder(|holder, _| holder.unfetched_records() == 0)
     });
     server.stop();
@@ -66,6 +67,6 @@
 
 fn wait_until(end: Instant, done: impl Fn() -> bool) {
     while !done() && Instant::now() < end {
-        std::thread::sleep(STOP_CHECK);
+        std::thread::sleep(STOP_CHECK_INTERVAL);
     }
 }
--- a/crates/standin/src/caller/arguments.rs
+++ b/crates/standin/src/caller/arguments.rs
@@ -1,4 +1,4 @@
-//! Flags of stand-in callers.
+//! Command line flags of the simulated callers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,75 +9,75 @@
 /// How requests are spread over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Arrivals {
-    /// At even distances.
+    /// Constant time between requests.
     Uniform,
-    /// As a Poisson process.
+    /// Poisson process: exponentially distributed time between requests.
     Poisson,
 }
 
-/// What a caller does when the outcome of a request that may not be repeated is not known.
+/// Reaction to an unknown outcome of a request that may not be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum AfterUnknown {
-    /// Sends it again as the next attempt.
+    /// Sends the request again as the next attempt.
     Resend,
-    /// Asks for its outcome until that is settled, as often as attempts are left; sends it again
-    /// only if the owner has not seen it.
+    /// Polls the outcome until it is settled, at most once for each remaining attempt. Sends the
+    /// request again only if the owner has not seen it.
     LookUp,
-    /// Nothing.
+    /// Gives the request up.
     Stop,
 }
 
-/// Flags of stand-in callers.
+/// Flags of the simulated callers.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Router to ask; give it again for more, which are asked in turn.
+    /// Router to call; may be repeated, then the routers are called in turn.
     #[arg(long = "router", required = true)]
     pub routers: Vec<SocketAddr>,
-    /// Requests started in a second, over all classes.
+    /// Requests started per second, over all classes.
     #[arg(long, default_value_t = 50.0)]
     pub rate: f64,
     /// How requests are spread over time.
     #[arg(long, value_enum, default_value_t = Arrivals::Poisson)]
     pub arrivals: Arrivals,
-    /// Seconds to call; 0 for no end.
+    /// Duration of the run in seconds; 0 for no limit.
     #[arg(long, default_value_t = 10.0)]
     pub seconds: f64,
-    /// Seed of times, keys and classes.
+    /// Seed of the random start times, keys and classes.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Count of keys.
+    /// Number of distinct keys.
     #[arg(long, default_value_t = 1000)]
     pub keys: usize,
-    /// Exponent of the keys' Zipf distribution; 0 for even.
+    /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
     #[arg(long, default_value_t = 0.0)]
     pub skew: f64,
     /// Class of requests as
     /// `service=S,class=C,path=/p,method=POST,weight=1,repeatable=false,deadline-ms=500`;
-    /// give it again for more.
+    /// may be repeated.
     #[arg(long = "class")]
     pub classes: Vec<ClassSpec>,
-    /// Time that a caller waits beyond the deadline, in ms.
+    /// Time that a caller waits for an answer after the deadline, in ms.
     #[arg(long, default_value_t = 250)]
     pub patience_ms: u64,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     #[arg(long, default_value_t = 3)]
     pub attempts: u32,
-    /// What to do when the outcome is not known.
+    /// Reaction to an unknown outcome of a request that may not be repeated.
     #[arg(long, value_enum, default_value_t = AfterUnknown::Resend)]
     pub after_unknown: AfterUnknown,
-    /// Network time of each direction between callers and routers, in ms.
+    /// Simulated one-way network delay between callers and routers, in ms.
     #[arg(long, default_value_t = 0.0)]
     pub delay_ms: f64,
-    /// Requests under way at once; more start late, which the summary counts.
+    /// Maximum number of concurrent requests. Further requests start late, which the summary counts.
     #[arg(long, default_value_t = 256)]
     pub threads: usize,
-    /// File that receives a line of JSON for each attempt and answer.
+    /// History file, to which a JSON line is appended for each attempt and answer.
     #[arg(long)]
     pub history: Option<PathBuf>,
-    /// File for the summary; standard output without it.
+    /// File for the summary; standard output by default.
     #[arg(long)]
     pub summary: Option<PathBuf>,
-    /// Start of every request id; two callers at once need two.
+    /// Prefix of every request id; must differ between processes that call at the same time.
     #[arg(long, default_value = "call")]
     pub id_prefix: String,
 }
@@ -85,35 +85,35 @@
 /// One class of requests that callers make.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
-    /// Service asked.
+    /// Service that is called.
     pub service: ServiceName,
-    /// Name of the class, for the history and the summary.
+    /// Name of the class in the history and the summary.
     pub class: ClassName,
-    /// Path behind the service's name.
+    /// Request path after the service name.
     pub path: String,
     /// HTTP method: GET or POST.
     pub method: String,
-    /// Share of the requests, relative to the other classes'.
+    /// Share of the requests, relative to the weights of the other classes.
     pub weight: f64,
-    /// Whether running it twice does no harm.
+    /// Whether a request may run more than once.
     pub repeatable: bool,
-    /// Deadline in ms.
+    /// Deadline of each attempt, in ms.
     pub deadline_ms: u64,
 }
 
-/// Why a class can't be read.
+/// Error of parsing a class.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClassSpecError {
-    /// A part has no `=`.
+    /// A part is not of the form `NAME=VALUE`.
     #[error("'{0}' is not NAME=VALUE")]
     NotAPair(String),
-    /// No such part.
+    /// The name of a part is unknown.
     #[error("there is no '{0}' in a class")]
     UnknownPart(String),
-    /// The part's value doesn't parse.
+    /// The value of a part is invalid.
     #[error("the value of '{0}' does not parse")]
     Invalid(&'static str),
-    /// A part that must be there isn't.
+    /// A required part is missing.
     #[error("'{0}' is missing")]
     Missing(&'static str),
 }
@@ -137,7 +137,7 @@
                 "service" => service = Some(parse(value, "service")?),
                 "class" => class = Some(parse(value, "class")?),
                 "path" => path = parse(value, "path")?,
-                "method" => method = method_of(value)?,
+                "method" => method = parse_method(value)?,
                 "weight" => weight = parse(value, "weight")?,
                 "repeatable" => repeatable = parse(value, "repeatable")?,
                 "deadline-ms" => deadline_ms = parse(value, "deadline-ms")?,
@@ -160,7 +160,7 @@
     value.parse().map_err(|_| ClassSpecError::Invalid(name))
 }
 
-fn method_of(value: &str) -> Result<String, ClassSpecError> {
+fn parse_method(value: &str) -> Result<String, ClassSpecError> {
     match value {
         "GET" | "POST" => Ok(value.to_owned()),
         _ => Err(ClassSpecError::Invalid("method")),
--- a/crates/standin/src/caller/client.rs
+++ b/crates/standin/src/caller/client.rs
@@ -1,6 +1,6 @@
-//! Sends one attempt to a router and reads its answer.
+//! HTTP client that sends one attempt to a router and validates the answer.
 //!
-//! Invariant: an answer counts as whole only when all its bytes came and its body names the request.
+//! Invariant: an answer counts as whole only if its body was received completely and names the request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use super::rules::AttemptResult;
 use super::{Args, ClassSpec};
 
-/// Header with the outcome.
+/// Response header with the outcome.
 const OUTCOME: &str = "Grebepin-Outcome";
 
-/// Largest answer read.
+/// Maximum size of an answer's body.
 const MAXIMUM_ANSWER_BYTES: u64 = 16 << 20;
 
-/// Longest time to look an outcome up.
-const LOOK_UP_TIME: Duration = Duration::from_secs(2);
+/// Timeout of an outcome lookup.
+const LOOK_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One attempt of a request.
 #[derive(Clone, Debug)]
@@ -34,17 +34,18 @@
     pub(super) attempt: u32,
 }
 
-/// What callers need of a back end's answer, which may hold more.
+/// The fields of a back end's answer that callers check; others are ignored.
 #[derive(Deserialize)]
-struct NamedAnswer {
+struct AnswerIdentity {
     request_id: RequestId,
     key: String,
 }
 
-/// HTTP client of all callers of a process.
+/// HTTP client shared by all callers of a process.
 #[derive(Debug)]
 pub(super) struct Client {
     agent: ureq::Agent,
+    /// Time to wait for an answer after the deadline.
     patience: Duration,
 }
 
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Sends an attempt and waits for its answer until its deadline and the patience are over.
+    /// Sends an attempt and waits for the answer until the deadline plus `patience`.
     pub(super) fn send(&self, attempt: &Attempt<'_>) -> AttemptResult {
         let class = attempt.class;
         let service = class.service.as_str();
@@ -71,17 +72,20 @@
         let answer = match class.method.as_str() {
             "GET" => {
                 let call = self.agent.get(url).config().timeout_global(Some(time));
-                fill(call.build(), attempt).call()
+                set_headers(call.build(), attempt).call()
             }
             _ => {
                 let call = self.agent.post(url).config().timeout_global(Some(time));
-                fill(call.build(), attempt).send(attempt.key)
+                set_headers(call.build(), attempt).send(attempt.key)
             }
         };
-        answer.map_or_else(|_| AttemptResult::default(), |answer| read(answer, attempt))
+        answer.map_or_else(
+            |_| AttemptResult::default(),
+            |answer| read_answer(answer, attempt),
+        )
     }
 
-    /// Asks a router what became of a request.
+    /// Asks a router for the outcome of a request; `None` if there is no valid answer.
     pub(super) fn look_up(&self, attempt: &Attempt<'_>) -> Option<RequestState> {
         let url = format!(
             "http://{}/-/outcome/{}/{}",
@@ -93,7 +97,7 @@
             .agent
             .get(url)
             .config()
-            .timeout_global(Some(LOOK_UP_TIME));
+            .timeout_global(Some(LOOK_UP_TIMEOUT));
         let mut answer = call.build().header(headers::KEY, attempt.key).call().ok()?;
         let body = answer.body_mut().read_to_vec().ok()?;
         let lookup: OutcomeLookup = serde_json::from_slice(&body).ok()?;
@@ -101,16 +105,16 @@
     }
 }
 
-fn fill<B>(call: ureq::RequestBuilder<B>, attempt: &Attempt<'_>) -> ureq::RequestBuilder<B> {
+fn set_headers<B>(call: ureq::RequestBuilder<B>, attempt: &Attempt<'_>) -> ureq::RequestBuilder<B> {
     call.header(headers::KEY, attempt.key)
         .header(headers::REQUEST_ID, attempt.request_id.as_str())
         .header(headers::ATTEMPT, attempt.attempt.to_string())
         .header(headers::DEADLINE_MS, attempt.class.deadline_ms.to_string())
 }
 
-fn read(mut answer: Response<Body>, attempt: &Attempt<'_>) -> AttemptResult {
-    let outcome = parsed::<Outcome>(answer.headers(), OUTCOME);
-    let answer_for = parsed::<RequestId>(answer.headers(), headers::REQUEST_ID);
+fn read_answer(mut answer: Response<Body>, attempt: &Attempt<'_>) -> AttemptResult {
+    let outcome = parse_header::<Outcome>(answer.headers(), OUTCOME);
+    let answer_for = parse_header::<RequestId>(answer.headers(), headers::REQUEST_ID);
     let body = answer
         .body_mut()
         .with_config()
@@ -134,7 +138,7 @@
 }
 
 fn names_request(body: &[u8], attempt: &Attempt<'_>) -> bool {
-    let body: Result<NamedAnswer, _> = serde_json::from_slice(body);
+    let body: Result<AnswerIdentity, _> = serde_json::from_slice(body);
     body.is_ok_and(|body| body.request_id == *attempt.request_id && body.key == attempt.key)
 }
 
@@ -150,7 +154,7 @@
     }
 }
 
-fn parsed<T: DeserializeOwned>(headers: &HeaderMap, name: &str) -> Option<T> {
+fn parse_header<T: DeserializeOwned>(headers: &HeaderMap, name: &str) -> Option<T> {
     let text = headers.get(name)?.to_str().ok()?;
     serde_json::from_value(text.into()).ok()
 }
--- a/crates/standin/src/caller/mod.rs
+++ b/crates/standin/src/caller/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-in callers: an open loop that asks at its own times, whatever the answers do.
+//! Simulated callers: an open-loop load generator whose start times don't depend on the answers.
 //!
-//! Invariant: the time of a request counts from when it should have started, so a stall shows in
-//! full; an attempt is sent again only by the outcome rules of `docs/INTERFACES.md`.
+//! Invariants: the latency of a request counts from its intended start, so that a stall shows in
+//! full; a request is resent only as the outcome rules of `docs/INTERFACES.md` allow.
 
 mod arguments;
 mod client;
@@ -18,17 +18,17 @@
 use grebepin_telemetry::{event, Event};
 
 pub use arguments::{AfterUnknown, Args, Arrivals, ClassSpec, ClassSpecError};
-pub use plan::{Intended, Plan};
+pub use plan::{Plan, PlannedRequest};
 pub use rules::{next_step, AttemptResult, NextStep, RepeatRules};
 pub use summary::{AnswerCounts, LatencySummary, RequestSummary, ServiceSummary, Summary};
 
 use crate::history::HistoryWriter;
 use worker::Workers;
 
-/// Longest sleep between two looks at whether to stop.
+/// Maximum interval between two checks of the stop flag.
 const STOP_CHECK: Duration = Duration::from_millis(50);
 
-/// Why callers could not run.
+/// Reasons why the callers could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum CallerError {
     /// No class of requests was given.
@@ -37,13 +37,13 @@
     /// The rate is not a number above zero.
     #[error("--rate must be above 0")]
     Rate,
-    /// No key can be drawn.
+    /// The number of keys is 0.
     #[error("--keys must be above 0")]
     Keys,
     /// The history file can't be opened.
     #[error("cannot open the history file: {0}")]
     History(#[source] io::Error),
-    /// A thread can't be had.
+    /// A thread can't be started.
     #[error("cannot start a thread: {0}")]
     Thread(#[source] io::Error),
     /// The summary can't be written.
@@ -51,18 +51,18 @@
     Summary {
         /// Path from the flags.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The summary can't be turned into JSON.
+    /// The summary can't be encoded as JSON.
     #[error("cannot encode the summary: {0}")]
     Encode(#[from] serde_json::Error),
 }
 
-/// Calls for the time in the flags; writes and returns the summary.
+/// Runs the callers for the duration in the flags, then writes and returns the summary.
 ///
 /// # Errors
-/// The flags make no sense, or a file or thread can't be had.
+/// Fails if the flags are invalid, a file can't be opened or written, or a thread can't be started.
 pub fn run(arguments: &Args) -> Result<Summary, CallerError> {
     let summary = run_until(arguments, &AtomicBool::new(false))?;
     let text = serde_json::to_string_pretty(&summary)?;
@@ -76,10 +76,11 @@
     Ok(summary)
 }
 
-/// Calls for the time in the flags or until `stop` is set; requests under way are finished.
+/// Runs the callers for the duration in the flags or until `stop` is set. Requests in flight are
+/// finished first.
 ///
 /// # Errors
-/// As [`run`].
+/// Fails as [`run`] does.
 pub fn run_until(arguments: &Args, stop: &AtomicBool) -> Result<Summary, CallerError> {
     let plan = Plan::new(arguments)?;
     let history =
@@ -102,7 +103,7 @@
     Ok(summary)
 }
 
-/// `false` when `stop` was set first.
+/// Sleeps until `at`. Returns `false` if `stop` was set first.
 fn sleep_until(at: Instant, stop: &AtomicBool) -> bool {
     loop {
         if stop.load(Ordering::SeqCst) {
--- a/crates/standin/src/caller/plan.rs
+++ b/crates/standin/src/caller/plan.rs
@@ -1,6 +1,6 @@
-//! When which request starts: decided by the seed alone.
+//! Schedule of the requests of a run.
 //!
-//! Invariant: the same flags give the same plan.
+//! Invariant: the plan is a function of the flags, including the seed.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 
 use super::{Args, Arrivals, CallerError};
 
-/// One request of the plan.
+/// One planned request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Intended {
-    /// When it should start, from the start of the run.
+pub struct PlannedRequest {
+    /// PlannedRequest start, relative to the start of the run.
     pub at: Duration,
-    /// Position of its class in the flags.
+    /// Index of its class in the flags.
     pub class: usize,
-    /// Number of its key, from 0; with a skew low numbers are asked most.
+    /// Number of its key, from 0. With a skew, low numbers are the most frequent.
     pub key: usize,
-    /// Number of the request, from 0.
+    /// Sequence number of the request, from 0.
     pub number: u64,
 }
 
-/// The requests of a run, in order.
+/// Iterator over the requests of a run, in the order of their start times.
 #[derive(Debug)]
 pub struct Plan {
     random: SmallRng,
@@ -36,10 +36,10 @@
 }
 
 impl Plan {
-    /// The plan of the flags.
+    /// Creates the plan that the flags describe.
     ///
     /// # Errors
-    /// No class, no key or no rate.
+    /// Fails if there is no class or no key, or if the rate is not above 0.
     pub fn new(arguments: &Args) -> Result<Self, CallerError> {
         let rate = arguments.rate;
         if !(rate.is_finite() && rate > 0.0) {
@@ -49,7 +49,7 @@
             return Err(CallerError::Keys);
         }
         let weights = arguments.classes.iter().map(|class| class.weight.max(0.0));
-        let class_sums = running_sums(weights);
+        let class_sums = cumulative_sums(weights);
         if class_sums.last().copied().unwrap_or(0.0) <= 0.0 {
             return Err(CallerError::NoClass);
         }
@@ -62,7 +62,7 @@
             arrivals: arguments.arrivals,
             end: (!seconds.is_zero()).then_some(seconds),
             class_sums,
-            key_sums: running_sums(weights),
+            key_sums: cumulative_sums(weights),
             at: Duration::ZERO,
             number: 0,
         })
@@ -79,15 +79,15 @@
 }
 
 impl Iterator for Plan {
-    type Item = Intended;
+    type Item = PlannedRequest;
 
-    fn next(&mut self) -> Option<Intended> {
+    fn next(&mut self) -> Option<PlannedRequest> {
         let gap = self.gap();
         self.at += gap;
         if self.end.is_some_and(|end| self.at >= end) {
             return None;
         }
-        let intended = Intended {
+        let intended = PlannedRequest {
             at: self.at,
             class: draw(&mut self.random, &self.class_sums),
             key: draw(&mut self.random, &self.key_sums),
@@ -98,7 +98,7 @@
     }
 }
 
-fn running_sums(weights: impl Iterator<Item = f64>) -> Vec<f64> {
+fn cumulative_sums(weights: impl Iterator<Item = f64>) -> Vec<f64> {
     let sums = weights.scan(0.0, |sum, weight| {
         *sum += weight;
         Some(*sum)
@@ -106,7 +106,8 @@
     sums.collect()
 }
 
-/// Position drawn in proportion to the weights behind `sums`, which isn't empty.
+/// Draws an index in proportion to the weights whose cumulative sums are `sums`, which must not be
+/// empty.
 fn draw(random: &mut SmallRng, sums: &[f64]) -> usize {
     let last = sums.len() - 1;
     let point = random.random::<f64>() * sums[last];
--- a/crates/standin/src/caller/rules.rs
+++ b/crates/standin/src/caller/rules.rs
@@ -1,7 +1,7 @@
-//! What a caller does after an attempt: the outcome rules, as a pure function.
+//! The outcome rules, which decide what a caller does after an attempt, as a pure function.
 //!
 //! Invariants: a request that may not be repeated keeps its id until it is known not to have run;
-//! after `not-run` it becomes a new request with a new id.
+//! after `not-run` it is sent as a new request with a new id.
 
 use std::time::Duration;
 
@@ -9,51 +9,51 @@
 
 use super::{AfterUnknown, Args};
 
-/// Pause before another attempt where the answer names none.
+/// Pause before the next attempt if the answer states none.
 const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
 
-/// Longest pause that a caller keeps to.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Upper bound on the pause that an answer can ask for.
+const MAXIMUM_PAUSE: Duration = Duration::from_secs(2);
 
-/// How one attempt ended.
+/// Result of one attempt.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AttemptResult {
-    /// `None` without an answer.
+    /// Outcome that the answer states; `None` without an answer.
     pub outcome: Option<Outcome>,
-    /// Request that the answer names.
+    /// Request id that the answer names.
     pub answer_for: Option<RequestId>,
-    /// Whether the answer was whole.
+    /// Whether the answer was received completely and names the request.
     pub whole: bool,
-    /// Kind of rejection, as the router's answer states it.
+    /// Kind of rejection that the router states.
     pub rejected: Option<String>,
-    /// When to come back, as the answer states it.
+    /// Time until the next attempt that the answer states.
     pub retry_after: Option<Duration>,
 }
 
-/// What to do next.
+/// Next step of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// The request is over.
+    /// The request is finished.
     Done,
-    /// Send it again with the same id, as the next attempt.
+    /// Send the request again after the pause, with the same id and the next attempt number.
     Resend(Duration),
-    /// It was not run: make it anew, with a new id.
-    Anew(Duration),
-    /// Ask for its outcome.
+    /// The request was not run: send it after the pause as a new request with a new id.
+    NewRequest(Duration),
+    /// Look its outcome up after the pause.
     LookUp(Duration),
 }
 
-/// What the rules depend on.
+/// Settings of the outcome rules.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatRules {
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
-    /// What to do when the outcome is not known.
+    /// Reaction to an unknown outcome of a request that may not be repeated.
     pub after_unknown: AfterUnknown,
 }
 
 impl RepeatRules {
-    /// The rules of the flags.
+    /// Takes the settings from the flags.
     pub fn new(arguments: &Args) -> Self {
         Self {
             attempts: arguments.attempts,
@@ -62,7 +62,7 @@
     }
 }
 
-/// What to do after attempt `sent` (1 for the first) of a request.
+/// Returns the next step after attempt number `sent` of a request, where 1 is the first.
 pub fn next_step(
     rules: RepeatRules,
     sent: u32,
@@ -72,11 +72,11 @@
     let pause = result
         .retry_after
         .unwrap_or(DEFAULT_PAUSE)
-        .min(LONGEST_PAUSE);
+        .min(MAXIMUM_PAUSE);
     let more = sent < rules.attempts;
     match result.outcome {
         Some(Outcome::Answered) => NextStep::Done,
-        Some(Outcome::NotRun) if more => NextStep::Anew(pause),
+        Some(Outcome::NotRun) if more => NextStep::NewRequest(pause),
         Some(Outcome::NotRun) => NextStep::Done,
         Some(Outcome::Unknown) | None => match rules.after_unknown {
             _ if more && repeatable => NextStep::Resend(pause),
--- a/crates/standin/src/caller/summary.rs
+++ b/crates/standin/src/caller/summary.rs
@@ -1,6 +1,6 @@
-//! What a run of callers came to.
+//! Summary of a run of callers.
 //!
-//! Invariant: every request and every attempt is counted exactly once.
+//! Invariant: every request and every attempt is counted by exactly one outcome.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,80 +12,82 @@
 use super::rules::AttemptResult;
 use super::ClassSpec;
 
-/// Longest latency that histograms tell apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Maximum latency that histograms can record, in microseconds.
+const MAXIMUM_LATENCY_US: u64 = 600_000_000;
 
-/// Digits that histograms keep.
-const DIGITS: u8 = 3;
+/// Significant decimal digits that histograms keep.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Lateness of a start that counts as late.
-const LATE: Duration = Duration::from_millis(10);
+/// Delay after the intended start above which a start counts as late.
+const LATE_START_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// Latencies in ms.
+/// Distribution of latencies in ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LatencySummary {
-    /// Count of latencies.
+    /// Number of latencies.
     pub count: u64,
     /// Median.
     pub p50_ms: f64,
-    /// 90 in 100 are at most this.
+    /// 90th percentile.
     pub p90_ms: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1000 are at most this.
+    /// 99.9th percentile.
     pub p999_ms: f64,
-    /// Longest.
+    /// Maximum.
     pub longest_ms: f64,
 }
 
-/// Attempts by how they ended.
+/// Numbers of attempts by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct AnswerCounts {
     /// Answered by the owner.
     pub answered: u64,
-    /// Not run.
+    /// Reported as not run.
     pub not_run: u64,
-    /// May have run.
+    /// Reported with an unknown outcome: may have run.
     pub unknown: u64,
-    /// No answer in time.
+    /// Without an answer in time.
     pub no_answer: u64,
-    /// Answers that named another request, or none, or were not whole.
+    /// Answers that named another request or none, or were incomplete. Each is also counted by its
+    /// outcome.
     pub wrong_answer: u64,
 }
 
-/// One class's requests.
+/// Summary of the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RequestSummary {
-    /// Attempts by how they ended.
+    /// Numbers of attempts by result.
     pub attempts: AnswerCounts,
-    /// Attempts that a router rejected, by the kind it stated.
+    /// Attempts that a router rejected, by the kind of rejection.
     pub rejected: BTreeMap<String, u64>,
-    /// Requests by their last outcome, with the time from the intended start to the end of it all.
+    /// Latencies by the last outcome of a request, from its intended start to the end of its last
+    /// attempt or lookup.
     pub requests: BTreeMap<String, LatencySummary>,
 }
 
-/// One service.
+/// Summary of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServiceSummary {
     /// Longest time without an answered request, in ms.
     pub longest_unavailable_ms: f64,
-    /// When that time began, in ms from the start of the run.
+    /// Start of that time, in ms from the start of the run.
     pub unavailable_from_ms: f64,
-    /// By class.
+    /// Summaries by class name.
     pub classes: BTreeMap<String, RequestSummary>,
 }
 
-/// The whole run.
+/// Summary of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// Requests started, without resends.
+    /// Number of requests started, not counting resends.
     pub requests: u64,
     /// Length of the run in seconds.
     pub seconds: f64,
-    /// Requests that started more than 10 ms after their time; the latencies count from the
-    /// intended time all the same.
+    /// Requests that started more than 10 ms after their intended start. Their latencies still count
+    /// from the intended start.
     pub late_starts: u64,
-    /// By service.
+    /// Summaries by service name.
     pub services: BTreeMap<String, ServiceSummary>,
 }
 
@@ -115,7 +117,7 @@
     }
 }
 
-/// Counts while the run goes on.
+/// Counters of a run in progress.
 #[derive(Default)]
 pub(super) struct Tally {
     requests: u64,
@@ -126,16 +128,16 @@
 impl Tally {
     pub(super) fn started(&mut self, late_by: Duration) {
         self.requests += 1;
-        self.late_starts += u64::from(late_by > LATE);
+        self.late_starts += u64::from(late_by > LATE_START_THRESHOLD);
     }
 
-    /// Counts an attempt that ended at `at` from the start of the run.
+    /// Counts an attempt that ended at `at`, relative to the start of the run.
     pub(super) fn attempt(&mut self, class: &ClassSpec, at: Duration, result: &AttemptResult) {
         let service = self.service(class);
         if result.outcome == Some(Outcome::Answered) {
             service.close_gap(at);
         }
-        let tally = class_of(service, class);
+        let tally = class_tally_mut(service, class);
         let counts = &mut tally.attempts;
         match result.outcome {
             Some(Outcome::Answered) => counts.answered += 1,
@@ -149,12 +151,14 @@
         }
     }
 
-    /// Counts the end of a request; `ending` is its last outcome.
+    /// Counts a finished request; `ending` is the key of its last outcome in the summary.
     pub(super) fn request(&mut self, class: &ClassSpec, ending: &str, latency: Duration) {
         let service = self.service(class);
-        let histograms = &mut class_of(service, class).requests;
+        let histograms = &mut class_tally_mut(service, class).requests;
         if !histograms.contains_key(ending) {
-            let Ok(histogram) = Histogram::new_with_bounds(1, LONGEST_US, DIGITS) else {
+            let Ok(histogram) =
+                Histogram::new_with_bounds(1, MAXIMUM_LATENCY_US, SIGNIFICANT_DIGITS)
+            else {
                 return;
             };
             histograms.insert(ending.to_owned(), histogram);
@@ -164,7 +168,7 @@
         }
     }
 
-    /// The summary of a run that lasted for `length`.
+    /// Returns the summary of a run that took `length`.
     pub(super) fn summary(mut self, length: Duration) -> Summary {
         let services = self.services.iter_mut().map(|(name, tally)| {
             tally.close_gap(length);
@@ -173,7 +177,7 @@
                 longest_unavailable_ms: in_ms(tally.longest_gap),
                 unavailable_from_ms: in_ms(tally.gap_from),
                 classes: classes
-                    .map(|(class, tally)| (class.clone(), summary_of(tally)))
+                    .map(|(class, tally)| (class.clone(), summarize_class(tally)))
                     .collect(),
             };
             (name.clone(), summary)
@@ -192,12 +196,12 @@
     }
 }
 
-fn class_of<'a>(service: &'a mut ServiceTally, class: &ClassSpec) -> &'a mut ClassTally {
+fn class_tally_mut<'a>(service: &'a mut ServiceTally, class: &ClassSpec) -> &'a mut ClassTally {
     let name = class.class.as_str();
     service.classes.entry(name.to_owned()).or_default()
 }
 
-fn summary_of(tally: &ClassTally) -> RequestSummary {
+fn summarize_class(tally: &ClassTally) -> RequestSummary {
     let requests = tally.requests.iter();
     RequestSummary {
         attempts: tally.attempts,
--- a/crates/standin/src/caller/worker.rs
+++ b/crates/standin/src/caller/worker.rs
@@ -1,6 +1,6 @@
-//! Threads that carry out the plan, one request each at a time.
+//! Worker threads that execute the planned requests, one at a time each.
 //!
-//! Invariant: the thread that keeps the plan's times never waits for an answer.
+//! Invariant: the thread that schedules the plan never waits for an answer.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -13,17 +13,17 @@
 };
 
 use super::client::{Attempt, Client};
-use super::plan::Intended;
+use super::plan::PlannedRequest;
 use super::rules::{next_step, AttemptResult, NextStep, RepeatRules};
 use super::summary::{Summary, Tally};
 use super::Args;
 use crate::history::HistoryWriter;
 use crate::lock;
 
-/// Ending of a request whose outcome was looked up.
+/// Result keys in the summary of requests whose outcome was looked up.
 const LOOKED_UP_RAN: &str = "looked-up-ran";
 const LOOKED_UP_NOT_RUN: &str = "looked-up-not-run";
-const LOOKED_UP_IN_VAIN: &str = "looked-up-in-vain";
+const LOOKED_UP_UNSETTLED: &str = "looked-up-in-vain";
 const NO_ANSWER: &str = "no-answer";
 
 struct Shared {
@@ -35,10 +35,10 @@
     started: Instant,
 }
 
-/// The threads and their queue.
+/// The worker threads and their queue.
 pub(super) struct Workers {
     shared: Arc<Shared>,
-    queue: Sender<Intended>,
+    queue: Sender<PlannedRequest>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -59,7 +59,7 @@
         let (queue, requests) = crossbeam_channel::unbounded();
         let threads = (0..arguments.threads.max(1)).map(|_| {
             let shared = Arc::clone(&shared);
-            let requests: Receiver<Intended> = requests.clone();
+            let requests: Receiver<PlannedRequest> = requests.clone();
             let work = move || requests.iter().for_each(|request| shared.call(&request));
             std::thread::Builder::new()
                 .name("caller".into())
@@ -73,11 +73,11 @@
         })
     }
 
-    pub(super) fn call(&self, intended: Intended) {
+    pub(super) fn call(&self, intended: PlannedRequest) {
         self.queue.send(intended).ok();
     }
 
-    /// Waits for the requests under way.
+    /// Waits until all queued requests are finished and returns the summary.
     pub(super) fn finish(self) -> Summary {
         let length = self.shared.started.elapsed();
         drop(self.queue);
@@ -90,38 +90,38 @@
 
 impl Shared {
     /// Makes one request, with its resends.
-    fn call(&self, intended: &Intended) {
+    fn call(&self, intended: &PlannedRequest) {
         let intended_start = self.started + intended.at;
         lock(&self.tally).started(intended_start.elapsed());
         let class = &self.arguments.classes[intended.class];
         let key = format!("key-{}", intended.key);
-        let mut anew = 0;
+        let mut earlier_attempts = 0;
         let mut attempt = 1;
         let ending = loop {
-            let Ok(request_id) = self.request_id(intended.number, anew) else {
+            let Ok(request_id) = self.request_id(intended.number, earlier_attempts) else {
                 return;
             };
-            let sent = anew + attempt;
-            let ask = Attempt {
+            let sent = earlier_attempts + attempt;
+            let request = Attempt {
                 router: self.router(intended.number, sent),
                 class,
                 key: &key,
                 request_id: &request_id,
                 attempt,
             };
-            let result = self.attempt(&ask, intended_start);
+            let result = self.attempt(&request, intended_start);
             match next_step(self.rules, sent, class.repeatable, &result) {
-                NextStep::Done => break ending_of(&result),
+                NextStep::Done => break result_key(&result),
                 NextStep::Resend(pause) => {
                     std::thread::sleep(pause);
                     attempt += 1;
                 }
-                NextStep::Anew(pause) => {
+                NextStep::NewRequest(pause) => {
                     std::thread::sleep(pause);
-                    anew += attempt;
+                    earlier_attempts += attempt;
                     attempt = 1;
                 }
-                NextStep::LookUp(pause) => match self.look_up(&ask, sent, pause) {
+                NextStep::LookUp(pause) => match self.look_up(&request, sent, pause) {
                     Some(ending) => break ending.to_owned(),
                     None => attempt += 1,
                 },
@@ -131,66 +131,67 @@
         lock(&self.tally).request(class, &ending, latency);
     }
 
-    fn attempt(&self, ask: &Attempt<'_>, intended_start: Instant) -> AttemptResult {
+    fn attempt(&self, request: &Attempt<'_>, intended_start: Instant) -> AttemptResult {
         self.record(HistoryEvent::Sent(CallerAttempt {
-            service: ask.class.service.clone(),
-            class: ask.class.class.clone(),
-            key: ask.key.to_owned(),
-            request_id: ask.request_id.clone(),
-            attempt: ask.attempt,
-            repeatable: ask.class.repeatable,
-            router: ask.router.to_string(),
+            service: request.class.service.clone(),
+            class: request.class.class.clone(),
+            key: request.key.to_owned(),
+            request_id: request.request_id.clone(),
+            attempt: request.attempt,
+            repeatable: request.class.repeatable,
+            router: request.router.to_string(),
         }));
         let delay = crate::milliseconds(self.arguments.delay_ms);
         std::thread::sleep(delay);
-        let result = self.client.send(ask);
+        let result = self.client.send(request);
         std::thread::sleep(delay);
         let latency = intended_start.elapsed();
         self.record(HistoryEvent::Finished(CallerAnswer {
-            request_id: ask.request_id.clone(),
-            attempt: ask.attempt,
+            request_id: request.request_id.clone(),
+            attempt: request.attempt,
             latency_us: latency.as_micros() as u64,
             outcome: result.outcome,
             answer_for: result.answer_for.clone(),
             whole: result.outcome.map(|_| result.whole),
         }));
-        lock(&self.tally).attempt(ask.class, self.started.elapsed(), &result);
+        lock(&self.tally).attempt(request.class, self.started.elapsed(), &result);
         result
     }
 
-    /// Asks for the outcome until it is settled, as often as attempts are left; `None` when the
-    /// owner has not seen the request, so that it may be sent again.
-    fn look_up(&self, ask: &Attempt<'_>, sent: u32, pause: Duration) -> Option<&'static str> {
+    /// Polls the outcome until it is settled, at most once for each remaining attempt. Returns `None`
+    /// if the owner has not seen the request, which may then be sent again.
+    fn look_up(&self, request: &Attempt<'_>, sent: u32, pause: Duration) -> Option<&'static str> {
         for look in sent..=self.rules.attempts {
             std::thread::sleep(pause);
-            match self.client.look_up(ask) {
+            match self.client.look_up(request) {
                 Some(RequestState::Ran) => return Some(LOOKED_UP_RAN),
                 Some(RequestState::NotRun) => return Some(LOOKED_UP_NOT_RUN),
                 Some(RequestState::Unseen) if look < self.rules.attempts => return None,
                 _ => {}
             }
         }
-        Some(LOOKED_UP_IN_VAIN)
+        Some(LOOKED_UP_UNSETTLED)
     }
 
-    /// Another id for every time that a request is made anew.
+    /// Id of a request. `earlier_attempts` is the number of attempts under earlier ids, 0 for the first
+    /// id.
     fn request_id(
         &self,
         number: u64,
-        anew: u32,
+        earlier_attempts: u32,
     ) -> Result<RequestId, grebepin_schema::error::ConversionError> {
         let prefix = &self.arguments.id_prefix;
-        match anew {
+        match earlier_attempts {
             0 => format!("{prefix}-{number}").parse(),
-            _ => format!("{prefix}-{number}.{anew}").parse(),
+            _ => format!("{prefix}-{number}.{earlier_attempts}").parse(),
         }
     }
 
-    /// Routers in turn; another one for each further attempt.
+    /// Selects routers in turn, and another one for each further attempt.
     fn router(&self, number: u64, sent: u32) -> std::net::SocketAddr {
         let routers = &self.arguments.routers;
-        let place = (number + u64::from(sent)) % routers.len() as u64;
-        routers[place as usize]
+        let index = (number + u64::from(sent)) % routers.len() as u64;
+        routers[index as usize]
     }
 
     fn record(&self, event: HistoryEvent) {
@@ -200,7 +201,7 @@
     }
 }
 
-fn ending_of(result: &AttemptResult) -> String {
+fn result_key(result: &AttemptResult) -> String {
     match result.outcome {
         Some(Outcome::Answered) if !result.whole => "wrong-answer".to_owned(),
         Some(outcome) => outcome.to_string(),
--- a/crates/standin/src/contract/clauses.rs
+++ b/crates/standin/src/contract/clauses.rs
@@ -1,21 +1,21 @@
-//! The clauses, in the order in which they are tried.
+//! The clauses, in the order in which they are checked.
 //!
-//! Invariant: a clause leaves the back end with a lease or without, but never draining.
+//! Invariant: no clause leaves the back end draining. Whether it then has a lease is unspecified.
 
 mod leases;
 mod requests;
 
 use super::peer::Peer;
-use super::Breach;
+use super::ClauseError;
 
 /// One clause of the page.
 pub(super) struct Clause {
     pub(super) name: &'static str,
     pub(super) needs_slow_path: bool,
-    pub(super) check: fn(&mut Peer) -> Result<(), Breach>,
+    pub(super) check: fn(&mut Peer) -> Result<(), ClauseError>,
 }
 
-const fn clause(name: &'static str, check: fn(&mut Peer) -> Result<(), Breach>) -> Clause {
+const fn clause(name: &'static str, check: fn(&mut Peer) -> Result<(), ClauseError>) -> Clause {
     Clause {
         name,
         needs_slow_path: false,
@@ -23,7 +23,10 @@
     }
 }
 
-const fn slow_clause(name: &'static str, check: fn(&mut Peer) -> Result<(), Breach>) -> Clause {
+const fn slow_clause(
+    name: &'static str,
+    check: fn(&mut Peer) -> Result<(), ClauseError>,
+) -> Clause {
     Clause {
         name,
         needs_slow_path: true,
--- a/crates/standin/src/contract/clauses/leases.rs
+++ b/crates/standin/src/contract/clauses/leases.rs
@@ -6,7 +6,7 @@
 use grebepin_schema::{GrantRefusalReason, LeaseRenewal, Nonce, Refusal, Session, Term};
 
 use crate::contract::peer::{Peer, Reply, LEASE_MS};
-use crate::contract::{expect, expect_that, Breach};
+use crate::contract::{expect, expect_that, ClauseError};
 
 /// Heartbeats after which an old nonce must be forgotten.
 const FORGOTTEN_AFTER: usize = 20;
@@ -18,8 +18,8 @@
 const SHORT_LEASE_MS: u64 = 500;
 const LONG_WORK_MS: u64 = 1200;
 
-pub(super) fn holds_nothing(peer: &mut Peer) -> Result<(), Breach> {
-    let answer = peer.beat(None)?;
+pub(super) fn holds_nothing(peer: &mut Peer) -> Result<(), ClauseError> {
+    let answer = peer.heartbeat(None)?;
     expect("held", answer.held, 0)?;
     expect("held_checksum", answer.held_checksum, 0)?;
     expect("renewed", answer.renewed, false)?;
@@ -27,79 +27,83 @@
     expect("draining", answer.draining, false)
 }
 
-pub(super) fn own_name(peer: &mut Peer) -> Result<(), Breach> {
+pub(super) fn own_name(peer: &mut Peer) -> Result<(), ClauseError> {
     let body = br#"{"group":0,"term":10,"server":"another-server"}"#;
     expect("status", peer.status("heartbeat", body)?, 421)
 }
 
-pub(super) fn malformed(peer: &mut Peer) -> Result<(), Breach> {
+pub(super) fn malformed(peer: &mut Peer) -> Result<(), ClauseError> {
     expect("status", peer.status("heartbeat", b"{\"group\":")?, 400)?;
     expect("status", peer.status("grant", b"{}")?, 400)
 }
 
-pub(super) fn no_grant_without_lease(peer: &mut Peer) -> Result<(), Breach> {
+pub(super) fn no_grant_without_lease(peer: &mut Peer) -> Result<(), ClauseError> {
     peer.wait_for_lapse()?;
     let (shard, epoch) = (peer.fresh_shard(), peer.fresh_epoch());
     let refused = peer.grant(shard, epoch, None)?;
     expect("grant", refused, Some(GrantRefusalReason::NoLease))
 }
 
-pub(super) fn fresh_nonces(peer: &mut Peer) -> Result<(), Breach> {
-    let first = peer.beat(None)?.nonce;
-    let second = peer.beat(None)?.nonce;
+pub(super) fn fresh_nonces(peer: &mut Peer) -> Result<(), ClauseError> {
+    let first = peer.heartbeat(None)?.nonce;
+    let second = peer.heartbeat(None)?.nonce;
     expect_that("nonces", first != second, (first, second), "two nonces")
 }
 
-pub(super) fn unknown_nonce(peer: &mut Peer) -> Result<(), Breach> {
+pub(super) fn unknown_nonce(peer: &mut Peer) -> Result<(), ClauseError> {
     let renewal = LeaseRenewal {
         nonce: Nonce(peer.nonce.0.wrapping_add(1_000_000)),
         ..peer.renewal(LEASE_MS)
     };
-    expect("renewed", peer.beat(Some(renewal))?.renewed, false)
+    expect("renewed", peer.heartbeat(Some(renewal))?.renewed, false)
 }
 
-pub(super) fn other_session(peer: &mut Peer) -> Result<(), Breach> {
+pub(super) fn other_session(peer: &mut Peer) -> Result<(), ClauseError> {
     let renewal = LeaseRenewal {
         session: Session(peer.session.0.wrapping_add(1)),
         ..peer.renewal(LEASE_MS)
     };
-    expect("renewed", peer.beat(Some(renewal))?.renewed, false)
+    expect("renewed", peer.heartbeat(Some(renewal))?.renewed, false)
 }
 
-pub(super) fn counts_from_issue(peer: &mut Peer) -> Result<(), Breach> {
+pub(super) fn counts_from_issue(peer: &mut Peer) -> Result<(), ClauseError> {
     peer.wait_for_lapse()?;
-    peer.beat(None)?;
+    peer.heartbeat(None)?;
     let received = Instant::now();
-    let stuck = peer.renewal(NONCE_AGE.as_millis() as u64 / 2);
+    let expired = peer.renewal(NONCE_AGE.as_millis() as u64 / 2);
     let renewal = peer.renewal(LEASE_MS);
     std::thread::sleep(NONCE_AGE);
-    expect("stuck renewal", peer.beat(Some(stuck))?.renewed, false)?;
-    // The nonce was issued before it was received here, so at most this much is left.
+    expect(
+        "stuck renewal",
+        peer.heartbeat(Some(expired))?.renewed,
+        false,
+    )?;
+    // The nonce was issued before it was received here, so this is an upper bound.
     let most = LEASE_MS.saturating_sub(received.elapsed().as_millis() as u64);
-    let answer = peer.beat(Some(renewal))?;
+    let answer = peer.heartbeat(Some(renewal))?;
     expect("renewed", answer.renewed, true)?;
     let left = answer.lease_remaining_ms;
     expect_that("lease_remaining_ms", left <= most, left, most)
 }
 
-pub(super) fn old_nonces(peer: &mut Peer) -> Result<(), Breach> {
-    peer.beat(None)?;
+pub(super) fn old_nonces(peer: &mut Peer) -> Result<(), ClauseError> {
+    peer.heartbeat(None)?;
     let old = peer.renewal(10 * LEASE_MS);
     for _ in 0..FORGOTTEN_AFTER {
-        peer.beat(None)?;
+        peer.heartbeat(None)?;
     }
-    expect("renewed", peer.beat(Some(old))?.renewed, false)
+    expect("renewed", peer.heartbeat(Some(old))?.renewed, false)
 }
 
-pub(super) fn lower_term(peer: &mut Peer) -> Result<(), Breach> {
-    let (shard, epoch) = peer.own_shard()?;
+pub(super) fn lower_term(peer: &mut Peer) -> Result<(), ClauseError> {
+    let (shard, epoch) = peer.grant_new_shard()?;
     let old = peer.term;
     peer.term = Term(old.0 + 1);
     peer.renew()?;
     let current = std::mem::replace(&mut peer.term, old);
     let renewal = peer.renewal(LEASE_MS);
     let (session, nonce) = (peer.session, peer.nonce);
-    let renewed = peer.beat(Some(renewal))?.renewed;
+    let renewed = peer.heartbeat(Some(renewal))?.renewed;
     (peer.session, peer.nonce) = (session, nonce);
     let other = peer.fresh_shard();
     let granted = peer.grant(other, epoch + 1, None)?;
@@ -108,11 +112,11 @@
     expect("renewed", renewed, false)?;
     expect("grant", granted, Some(GrantRefusalReason::StaleTerm))?;
     expect("released", released.released.len(), 0)?;
-    let ask = peer.ask(shard, epoch);
-    expect("request", peer.send(&ask)?, Reply::Ran)
+    let request = peer.new_request(shard, epoch);
+    expect("request", peer.send(&request)?, Reply::Ran)
 }
 
-pub(super) fn grant_of_other_session(peer: &mut Peer) -> Result<(), Breach> {
+pub(super) fn grant_of_other_session(peer: &mut Peer) -> Result<(), ClauseError> {
     peer.renew()?;
     let current = peer.session;
     peer.session = Session(current.0.wrapping_add(1));
@@ -122,22 +126,22 @@
     expect("grant", refused, Some(GrantRefusalReason::StaleSession))
 }
 
-pub(super) fn epochs_grow(peer: &mut Peer) -> Result<(), Breach> {
-    let (shard, epoch) = peer.own_shard()?;
+pub(super) fn epochs_grow(peer: &mut Peer) -> Result<(), ClauseError> {
+    let (shard, epoch) = peer.grant_new_shard()?;
     let stale = Some(GrantRefusalReason::StaleEpoch);
     expect("same epoch", peer.grant(shard, epoch, None)?, None)?;
     expect("lower epoch", peer.grant(shard, epoch - 1, None)?, stale)?;
     expect("higher epoch", peer.grant(shard, epoch + 2, None)?, None)?;
     expect("old epoch", peer.grant(shard, epoch, None)?, stale)?;
-    let ask = peer.ask(shard, epoch);
+    let request = peer.new_request(shard, epoch);
     let wrong = Reply::Refused(Refusal::WrongEpoch);
-    expect("request at the old epoch", peer.send(&ask)?, wrong)
+    expect("request at the old epoch", peer.send(&request)?, wrong)
 }
 
-pub(super) fn checksum(peer: &mut Peer) -> Result<(), Breach> {
-    let first = peer.own_shard()?;
-    let second = peer.own_shard()?;
-    let answer = peer.beat(None)?;
+pub(super) fn checksum(peer: &mut Peer) -> Result<(), ClauseError> {
+    let first = peer.grant_new_shard()?;
+    let second = peer.grant_new_shard()?;
+    let answer = peer.heartbeat(None)?;
     let holdings = peer.holdings()?;
     expect("session", holdings.session, answer.session)?;
     expect("held", answer.held as usize, holdings.shards.len())?;
@@ -154,8 +158,8 @@
     expect("held_checksum", answer.held_checksum, sum)
 }
 
-pub(super) fn release(peer: &mut Peer) -> Result<(), Breach> {
-    let (shard, epoch) = peer.own_shard()?;
+pub(super) fn release(peer: &mut Peer) -> Result<(), ClauseError> {
+    let (shard, epoch) = peer.grant_new_shard()?;
     let held = vec![peer.held(shard, epoch)];
     expect(
         "released",
@@ -163,9 +167,9 @@
         held.clone(),
     )?;
     expect("asked again", peer.release(shard, epoch)?.released, held)?;
-    let ask = peer.ask(shard, epoch);
+    let request = peer.new_request(shard, epoch);
     let wrong = Reply::Refused(Refusal::WrongEpoch);
-    expect("request", peer.send(&ask)?, wrong)?;
+    expect("request", peer.send(&request)?, wrong)?;
     let stale = Some(GrantRefusalReason::StaleEpoch);
     expect("released epoch", peer.grant(shard, epoch, None)?, stale)?;
     let never_held = peer.fresh_shard();
@@ -178,17 +182,17 @@
     expect("higher epoch", peer.grant(shard, epoch + 1, None)?, None)
 }
 
-pub(super) fn lapse(peer: &mut Peer) -> Result<(), Breach> {
-    let (shard, epoch) = peer.own_shard()?;
-    let ask = peer.ask(shard, epoch);
-    expect("request", peer.send(&ask)?, Reply::Ran)?;
+pub(super) fn lapse(peer: &mut Peer) -> Result<(), ClauseError> {
+    let (shard, epoch) = peer.grant_new_shard()?;
+    let request = peer.new_request(shard, epoch);
+    expect("request", peer.send(&request)?, Reply::Ran)?;
     let old = peer.session;
     peer.wait_for_lapse()?;
-    let answer = peer.beat(None)?;
+    let answer = peer.heartbeat(None)?;
     expect("held", answer.held, 0)?;
     let session = answer.session;
     expect_that("session", session != old, session, "a new session")?;
-    let late = peer.ask(shard, epoch);
+    let late = peer.new_request(shard, epoch);
     let reply = peer.send(&late)?;
     let refused = matches!(
         reply,
@@ -202,17 +206,17 @@
     let stale = Some(GrantRefusalReason::StaleSession);
     expect("grant delayed across the lapse", granted, stale)?;
     expect("same epoch again", peer.grant(shard, epoch, None)?, None)?;
-    expect("what ran before", peer.send(&ask)?, Reply::RanEarlier)
+    expect("what ran before", peer.send(&request)?, Reply::RanEarlier)
 }
 
-pub(super) fn no_effect_after_lapse(peer: &mut Peer) -> Result<(), Breach> {
+pub(super) fn no_effect_after_lapse(peer: &mut Peer) -> Result<(), ClauseError> {
     peer.wait_for_lapse()?;
     peer.renew_for(SHORT_LEASE_MS)?;
     let (shard, epoch) = (peer.fresh_shard(), peer.fresh_epoch());
     expect("grant", peer.grant(shard, epoch, None)?, None)?;
-    let mut ask = peer.ask(shard, epoch);
-    ask.work_ms = Some(LONG_WORK_MS);
-    let reply = peer.send(&ask)?;
+    let mut request = peer.new_request(shard, epoch);
+    request.work_ms = Some(LONG_WORK_MS);
+    let reply = peer.send(&request)?;
     let refused = matches!(
         reply,
         Reply::Refused(Refusal::NoLease | Refusal::WrongEpoch)
@@ -220,15 +224,15 @@
     expect_that("effect after the lease", refused, reply, "no-lease")
 }
 
-pub(super) fn handover_after_lapse(peer: &mut Peer) -> Result<(), Breach> {
-    let (shard, epoch) = peer.own_shard()?;
-    let ask = peer.ask(shard, epoch);
-    expect("request", peer.send(&ask)?, Reply::Ran)?;
+pub(super) fn handover_after_lapse(peer: &mut Peer) -> Result<(), ClauseError> {
+    let (shard, epoch) = peer.grant_new_shard()?;
+    let request = peer.new_request(shard, epoch);
+    expect("request", peer.send(&request)?, Reply::Ran)?;
     peer.wait_for_lapse()?;
     let record = peer.handover(shard, epoch)?;
     expect("complete", record.complete, true)?;
     let mut entries = record.entries.iter();
-    let listed = entries.any(|entry| entry.request_id.as_str() == ask.id);
+    let listed = entries.any(|entry| entry.request_id.as_str() == request.id);
     expect("entry", listed, true)?;
     peer.renew()?;
     let stale = Some(GrantRefusalReason::StaleEpoch);
--- a/crates/standin/src/contract/mod.rs
+++ b/crates/standin/src/contract/mod.rs
@@ -1,10 +1,10 @@
-//! Checks that a back end keeps every clause of `docs/INTERFACES.md`, from outside, over HTTP.
+//! Conformance check of a back end against the clauses of `docs/INTERFACES.md`, over HTTP.
 //!
-//! The check acts as the control leader, as a router and as a previous owner. The back end must be
-//! fresh, must know itself by the name in the options, and nobody else may talk to it meanwhile.
+//! The check acts as the control leader, a router and a previous owner. The back end must be freshly
+//! started under the server name in the options, and no other process may call it during the check.
 //!
-//! Invariant: a clause passes only when the back end answered as the page says; a clause that could
-//! not be tried is reported as not run, never as passed.
+//! Invariant: a clause passes only if the back end answered as the page specifies. A clause that could
+//! not be checked is reported as not run, never as passed.
 
 mod clauses;
 mod peer;
@@ -17,73 +17,73 @@
 
 use peer::Peer;
 
-/// Flags of the check.
+/// Flags of the contract check.
 #[derive(Clone, Debug, clap::Args)]
 pub struct ContractOptions {
     /// Address of the back end.
     pub address: SocketAddr,
-    /// Name that the back end knows itself by.
+    /// Server name that the back end was started with.
     #[arg(long, default_value = "contract")]
     pub server: ServerName,
-    /// Service asked.
+    /// Service whose shards are granted to the back end.
     #[arg(long, default_value = "contract")]
     pub service: grebepin_schema::ServiceName,
-    /// Path whose requests take the time in their query's `work_ms`; without one the clauses on
+    /// Path whose requests take the time in the query parameter `work_ms`. Without one, the clauses on
     /// requests in flight are not run.
     #[arg(long)]
     pub slow_path: Option<String>,
-    /// Try only clauses whose name begins so; give it again for more.
+    /// Check only clauses whose name starts with this; may be repeated.
     #[arg(long)]
     pub only: Vec<String>,
 }
 
 impl ContractOptions {
-    fn wants(&self, clause: &str) -> bool {
-        let named = self.only.iter().any(|start| clause.starts_with(start));
-        self.only.is_empty() || named
+    fn selects(&self, clause: &str) -> bool {
+        let selected = self.only.iter().any(|prefix| clause.starts_with(prefix));
+        self.only.is_empty() || selected
     }
 }
 
-/// Why a clause is not kept.
+/// Reasons why a clause is violated or could not be checked.
 #[derive(Debug, thiserror::Error)]
-pub enum Breach {
+pub enum ClauseError {
     /// The back end did not answer.
     #[error("no answer: {0}")]
     Unreachable(#[source] Box<ureq::Error>),
-    /// The answer is not the JSON that the schema demands.
+    /// The answer is not JSON of the required schema.
     #[error("not the JSON demanded: {0}")]
     Json(#[from] serde_json::Error),
-    /// The answer has another status.
+    /// The answer has an unexpected status.
     #[error("status {status} to {call}")]
     Status {
-        /// What was asked.
+        /// Name of the call.
         call: &'static str,
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The answer says something else.
+    /// The answer has an unexpected value.
     #[error("{what}: expected {expected}, found {found}")]
     Unexpected {
-        /// What was looked at.
+        /// Name of the value.
         what: &'static str,
-        /// What the page demands.
+        /// Value that the page requires.
         expected: String,
-        /// What came.
+        /// Value of the answer.
         found: String,
     },
-    /// The check itself could not go on.
+    /// The check itself failed.
     #[error("the check could not go on: {0}")]
     Check(#[source] std::io::Error),
 }
 
-/// What became of one clause.
+/// Result of checking one clause.
 #[derive(Debug)]
 pub enum Verdict {
-    /// Kept.
+    /// The back end keeps the clause.
     Pass,
-    /// Not kept.
-    Fail(Breach),
-    /// Not tried, for this reason.
+    /// The back end violates the clause.
+    Fail(ClauseError),
+    /// The clause was not checked, for this reason.
     NotRun(&'static str),
 }
 
@@ -92,35 +92,35 @@
 pub struct ClauseReport {
     /// Name of the clause, as on the page.
     pub clause: &'static str,
-    /// What became of it.
+    /// Result of the check.
     pub verdict: Verdict,
 }
 
-/// Verdicts of all clauses; prints as a table.
+/// Verdicts of all clauses. Displayed as a table.
 #[derive(Debug)]
 pub struct ContractReport {
-    /// In the order tried.
+    /// Reports in the order in which the clauses were checked.
     pub clauses: Vec<ClauseReport>,
 }
 
 impl ContractReport {
-    /// Count of clauses with a verdict.
+    /// Number of clauses whose verdict matches.
     fn count(&self, wanted: fn(&Verdict) -> bool) -> usize {
         let verdicts = self.clauses.iter().map(|clause| &clause.verdict);
         verdicts.filter(|verdict| wanted(verdict)).count()
     }
 
-    /// Clauses not kept.
+    /// Number of clauses violated.
     pub fn failed(&self) -> usize {
         self.count(|verdict| matches!(verdict, Verdict::Fail(_)))
     }
 
-    /// Clauses not tried.
+    /// Number of clauses not checked.
     pub fn not_run(&self) -> usize {
         self.count(|verdict| matches!(verdict, Verdict::NotRun(_)))
     }
 
-    /// Clauses kept.
+    /// Number of clauses kept.
     pub fn passed(&self) -> usize {
         self.count(|verdict| matches!(verdict, Verdict::Pass))
     }
@@ -132,7 +132,7 @@
             let name = clause.clause;
             match &clause.verdict {
                 Verdict::Pass => writeln!(formatter, "pass     {name}")?,
-                Verdict::Fail(breach) => writeln!(formatter, "FAIL     {name}: {breach}")?,
+                Verdict::Fail(error) => writeln!(formatter, "FAIL     {name}: {error}")?,
                 Verdict::NotRun(reason) => writeln!(formatter, "not run  {name}: {reason}")?,
             }
         }
@@ -144,7 +144,7 @@
     }
 }
 
-/// Checks the back end at `address`, which knows itself as `contract`.
+/// Checks the back end at `address`, which must have been started with the server name `contract`.
 pub fn run(address: SocketAddr) -> ContractReport {
     let name = "contract";
     run_with(&ContractOptions {
@@ -160,19 +160,19 @@
     })
 }
 
-/// Checks the back end that the options name.
+/// Checks the back end that the options describe.
 pub fn run_with(options: &ContractOptions) -> ContractReport {
     let mut peer = Peer::new(options.clone());
     let wanted = clauses::ALL
         .iter()
-        .filter(|clause| options.wants(clause.name));
+        .filter(|clause| options.selects(clause.name));
     let clauses = wanted.map(|clause| {
         let slow = options.slow_path.is_some();
         let verdict = match clause.needs_slow_path && !slow {
             true => Verdict::NotRun("no slow path was given"),
             false => match (clause.check)(&mut peer) {
                 Ok(()) => Verdict::Pass,
-                Err(breach) => Verdict::Fail(breach),
+                Err(error) => Verdict::Fail(error),
             },
         };
         ClauseReport {
@@ -185,25 +185,25 @@
     }
 }
 
-/// Demands that `found` is `expected`.
+/// Fails unless `found` equals `expected`.
 fn expect<T: PartialEq + fmt::Debug>(
     what: &'static str,
     found: T,
     expected: T,
-) -> Result<(), Breach> {
+) -> Result<(), ClauseError> {
     expect_that(what, found == expected, &found, &expected)
 }
 
-/// Demands that `holds`; says what was found and expected otherwise.
+/// Fails with the found and expected values unless `holds`.
 fn expect_that(
     what: &'static str,
     holds: bool,
     found: impl fmt::Debug,
     expected: impl fmt::Debug,
-) -> Result<(), Breach> {
+) -> Result<(), ClauseError> {
     match holds {
         true => Ok(()),
-        false => Err(Breach::Unexpected {
+        false => Err(ClauseError::Unexpected {
             what,
             expected: format!("{expected:?}"),
             found: format!("{found:?}"),
--- a/crates/standin/src/contract/peer.rs
+++ b/crates/standin/src/contract/peer.rs
@@ -1,6 +1,6 @@
-//! Plays the control leader and a router towards the back end under check.
+//! Client that acts as the control leader and a router towards the back end under check.
 //!
-//! Invariant: every clause gets a shard that no earlier clause touched, and epochs only grow.
+//! Invariant: every clause gets a shard that no earlier clause used, and epochs only grow.
 
 use std::time::{Duration, Instant};
 
@@ -14,25 +14,25 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use super::{Breach, ContractOptions};
+use super::{ClauseError, ContractOptions};
 
-/// Group that the check plays the leader of.
+/// Group whose leader the check simulates.
 pub(super) const GROUP: GroupId = GroupId(0);
 
-/// Lease of a clause in ms: long against the few calls that a clause makes.
+/// Lease duration in ms; long compared to the few calls that a clause makes.
 pub(super) const LEASE_MS: u64 = 2000;
 
-/// Longest time of one call.
-const CALL_TIME: Duration = Duration::from_secs(10);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for the back end to get into a state.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Maximum time to wait for the back end to reach a state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Step in which a back end tells what remains of its lease.
-const REMAINING_STEP: Duration = Duration::from_millis(1);
+/// Resolution at which a back end reports the remaining time of its lease.
+const LEASE_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// Pause between two looks at the back end.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two polls of the back end.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Body of every request that has one.
 const BODY: &[u8] = b"body";
@@ -45,9 +45,9 @@
     Put,
 }
 
-/// Headers of one request; `None` leaves one out.
+/// One request to the back end.
 #[derive(Clone, Debug)]
-pub(super) struct Ask {
+pub(super) struct TestRequest {
     pub(super) method: Method,
     pub(super) shard: u32,
     pub(super) epoch: u64,
@@ -55,12 +55,13 @@
     pub(super) attempt: u32,
     pub(super) repeatable: bool,
     pub(super) deadline_ms: u64,
+    /// Header that is left out.
     pub(super) without: Option<&'static str>,
-    /// Time to work, on the slow path.
+    /// Service time in ms, which only the slow path honours.
     pub(super) work_ms: Option<u64>,
 }
 
-/// What came of a request.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Reply {
     Ran,
@@ -68,7 +69,7 @@
     Refused(Refusal),
 }
 
-/// Leader and router in one.
+/// Simulated leader and router.
 #[derive(Clone)]
 pub(super) struct Peer {
     pub(super) options: ContractOptions,
@@ -84,7 +85,7 @@
 impl Peer {
     pub(super) fn new(options: ContractOptions) -> Self {
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(CALL_TIME))
+            .timeout_global(Some(CALL_TIMEOUT))
             .proxy(None)
             .http_status_as_error(false)
             .build();
@@ -110,10 +111,10 @@
         self.next_shard
     }
 
-    /// A request that may not be repeated, with an id of its own.
-    pub(super) fn ask(&mut self, shard: u32, epoch: u64) -> Ask {
+    /// Creates a request that may not be repeated, with a new id.
+    pub(super) fn new_request(&mut self, shard: u32, epoch: u64) -> TestRequest {
         self.next_id += 1;
-        Ask {
+        TestRequest {
             method: Method::Post,
             shard,
             epoch,
@@ -126,30 +127,30 @@
         }
     }
 
-    /// Gives the back end a lease and a shard that never had an owner; returns shard and epoch.
-    pub(super) fn own_shard(&mut self) -> Result<(u32, u64), Breach> {
-        self.own_shard_after(None)
+    /// Renews the lease and grants a shard that never had an owner. Returns the shard and its epoch.
+    pub(super) fn grant_new_shard(&mut self) -> Result<(u32, u64), ClauseError> {
+        self.grant_new_shard_after(None)
     }
 
-    pub(super) fn own_shard_after(
+    pub(super) fn grant_new_shard_after(
         &mut self,
         previous: Option<PreviousOwner>,
-    ) -> Result<(u32, u64), Breach> {
+    ) -> Result<(u32, u64), ClauseError> {
         self.renew()?;
         let (shard, epoch) = (self.fresh_shard(), self.fresh_epoch());
         super::expect("grant", self.grant(shard, epoch, previous)?, None)?;
         Ok((shard, epoch))
     }
 
-    /// Two heartbeats, of which the second renews the lease for the usual time.
-    pub(super) fn renew(&mut self) -> Result<HeartbeatAnswer, Breach> {
+    /// Sends two heartbeats, the second of which renews the lease for [`LEASE_MS`].
+    pub(super) fn renew(&mut self) -> Result<HeartbeatAnswer, ClauseError> {
         self.renew_for(LEASE_MS)
     }
 
-    pub(super) fn renew_for(&mut self, duration_ms: u64) -> Result<HeartbeatAnswer, Breach> {
-        self.beat(None)?;
+    pub(super) fn renew_for(&mut self, duration_ms: u64) -> Result<HeartbeatAnswer, ClauseError> {
+        self.heartbeat(None)?;
         let renewal = self.renewal(duration_ms);
-        let answer = self.beat(Some(renewal))?;
+        let answer = self.heartbeat(Some(renewal))?;
         super::expect("renewed", answer.renewed, true)?;
         Ok(answer)
     }
@@ -162,8 +163,11 @@
         }
     }
 
-    /// A heartbeat; remembers the newest session and nonce.
-    pub(super) fn beat(&mut self, lease: Option<LeaseRenewal>) -> Result<HeartbeatAnswer, Breach> {
+    /// Sends a heartbeat and stores the session and nonce of the answer.
+    pub(super) fn heartbeat(
+        &mut self,
+        lease: Option<LeaseRenewal>,
+    ) -> Result<HeartbeatAnswer, ClauseError> {
         let request = HeartbeatRequest {
             group: GROUP,
             term: self.term,
@@ -176,13 +180,13 @@
         Ok(answer)
     }
 
-    /// The refusal, if the grant was refused.
+    /// Grants a shard. Returns the reason if the back end refused it.
     pub(super) fn grant(
         &mut self,
         shard: u32,
         epoch: u64,
         previous: Option<PreviousOwner>,
-    ) -> Result<Option<GrantRefusalReason>, Breach> {
+    ) -> Result<Option<GrantRefusalReason>, ClauseError> {
         let request = GrantRequest {
             group: GROUP,
             term: self.term,
@@ -200,7 +204,7 @@
         Ok(answer.refused.first().map(|refused| refused.reason))
     }
 
-    pub(super) fn release(&self, shard: u32, epoch: u64) -> Result<ReleaseAnswer, Breach> {
+    pub(super) fn release(&self, shard: u32, epoch: u64) -> Result<ReleaseAnswer, ClauseError> {
         let request = ReleaseRequest {
             group: GROUP,
             term: self.term,
@@ -217,43 +221,47 @@
         }
     }
 
-    pub(super) fn holdings(&self) -> Result<HoldingsAnswer, Breach> {
+    pub(super) fn holdings(&self) -> Result<HoldingsAnswer, ClauseError> {
         self.get("holdings", &format!("group={}", GROUP.0))
     }
 
-    pub(super) fn drain(&self, draining: bool) -> Result<(), Breach> {
+    pub(super) fn drain(&self, draining: bool) -> Result<(), ClauseError> {
         let answer: DrainRequest = self.post("drain", &DrainRequest { draining })?;
         super::expect("draining", answer.draining, draining)
     }
 
-    /// Cancels a request and states the attempt, if there is one.
-    pub(super) fn cancel(&self, ask: &Ask, attempt: Option<u32>) -> Result<CancelAnswer, Breach> {
-        let request = CancelRequest {
+    /// Cancels a request. The attempt header is sent only if `attempt` is given.
+    pub(super) fn cancel(
+        &self,
+        request: &TestRequest,
+        attempt: Option<u32>,
+    ) -> Result<CancelAnswer, ClauseError> {
+        let cancel = CancelRequest {
             service: self.options.service.clone(),
-            shard: ShardId(ask.shard),
-            epoch: Epoch(ask.epoch),
-            request_id: request_id(&ask.id)?,
+            shard: ShardId(request.shard),
+            epoch: Epoch(request.epoch),
+            request_id: request_id(&request.id)?,
         };
         let mut call = self.agent.post(self.url("cancel"));
         if let Some(attempt) = attempt {
             call = call.header(headers::ATTEMPT, attempt.to_string());
         }
-        let body = serde_json::to_vec(&request)?;
+        let body = serde_json::to_vec(&cancel)?;
         read_json("cancel", call.send(&body[..]))
     }
 
-    pub(super) fn outcome(&self, ask: &Ask) -> Result<RequestState, Breach> {
+    pub(super) fn outcome(&self, request: &TestRequest) -> Result<RequestState, ClauseError> {
         let query = format!(
             "service={}&shard={}&request_id={}",
             self.options.service.as_str(),
-            ask.shard,
-            ask.id
+            request.shard,
+            request.id
         );
         let answer: OutcomeAnswer = self.get("outcome", &query)?;
         Ok(answer.state)
     }
 
-    pub(super) fn handover(&self, shard: u32, epoch: u64) -> Result<HandoverAnswer, Breach> {
+    pub(super) fn handover(&self, shard: u32, epoch: u64) -> Result<HandoverAnswer, ClauseError> {
         let service = self.options.service.as_str();
         self.get(
             "handover",
@@ -261,17 +269,17 @@
         )
     }
 
-    /// Sends a request as a router does.
-    pub(super) fn send(&self, ask: &Ask) -> Result<Reply, Breach> {
-        let path = match (&self.options.slow_path, ask.work_ms) {
+    /// Sends a request like a router.
+    pub(super) fn send(&self, request: &TestRequest) -> Result<Reply, ClauseError> {
+        let path = match (&self.options.slow_path, request.work_ms) {
             (Some(path), Some(work_ms)) => format!("{path}?work_ms={work_ms}"),
             _ => "/contract".to_owned(),
         };
         let url = format!("http://{}{path}", self.options.address);
-        let answer = match ask.method {
-            Method::Get => self.fill(self.agent.get(url), ask).call(),
-            Method::Post => self.fill(self.agent.post(url), ask).send(BODY),
-            Method::Put => self.fill(self.agent.put(url), ask).send(BODY),
+        let answer = match request.method {
+            Method::Get => self.fill(self.agent.get(url), request).call(),
+            Method::Post => self.fill(self.agent.post(url), request).send(BODY),
+            Method::Put => self.fill(self.agent.put(url), request).send(BODY),
         };
         let answer = answer.map_err(unreachable)?;
         let header = |name| {
@@ -280,9 +288,9 @@
                 .get(name)
                 .and_then(|value| value.to_str().ok())
         };
-        if ask.without != Some(headers::REQUEST_ID) {
+        if request.without != Some(headers::REQUEST_ID) {
             let answered = header(headers::REQUEST_ID).unwrap_or_default();
-            super::expect("Grebepin-Request-Id", answered, ask.id.as_str())?;
+            super::expect("Grebepin-Request-Id", answered, request.id.as_str())?;
         }
         match header(headers::REFUSAL) {
             None => {
@@ -297,14 +305,17 @@
         }
     }
 
-    /// Sends a request from a thread of its own.
-    pub(super) fn send_aside(&self, ask: &Ask) -> std::thread::JoinHandle<Result<Reply, Breach>> {
-        let (peer, ask) = (self.clone(), ask.clone());
-        std::thread::spawn(move || peer.send(&ask))
+    /// Sends a request in a new thread.
+    pub(super) fn send_in_thread(
+        &self,
+        request: &TestRequest,
+    ) -> std::thread::JoinHandle<Result<Reply, ClauseError>> {
+        let (peer, request) = (self.clone(), request.clone());
+        std::thread::spawn(move || peer.send(&request))
     }
 
-    /// Status of any call.
-    pub(super) fn status(&self, call: &'static str, body: &[u8]) -> Result<u16, Breach> {
+    /// Sends any body to a control call and returns the HTTP status.
+    pub(super) fn status(&self, call: &'static str, body: &[u8]) -> Result<u16, ClauseError> {
         let answer = self.agent.post(self.url(call)).send(body);
         Ok(answer.map_err(unreachable)?.status().as_u16())
     }
@@ -313,17 +324,17 @@
         &self,
         call: &'static str,
         query: &str,
-    ) -> Result<T, Breach> {
+    ) -> Result<T, ClauseError> {
         let url = format!("{}?{query}", self.url(call));
         read_json(call, self.agent.get(url).call())
     }
 
-    /// Looks until `done` says so; the last look counts when the patience is over.
+    /// Polls `done` until it returns true. Returns false if that takes longer than [`STATE_TIMEOUT`].
     pub(super) fn wait_for(
         &mut self,
-        mut done: impl FnMut(&mut Self) -> Result<bool, Breach>,
-    ) -> Result<bool, Breach> {
-        let end = Instant::now() + PATIENCE;
+        mut done: impl FnMut(&mut Self) -> Result<bool, ClauseError>,
+    ) -> Result<bool, ClauseError> {
+        let end = Instant::now() + STATE_TIMEOUT;
         loop {
             if done(self)? {
                 return Ok(true);
@@ -331,34 +342,39 @@
             if Instant::now() >= end {
                 return Ok(false);
             }
-            std::thread::sleep(LOOK_PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until the lease has run out.
-    pub(super) fn wait_for_lapse(&mut self) -> Result<(), Breach> {
-        let lapsed = self.wait_for(|peer| Ok(peer.beat(None)?.lease_remaining_ms == 0))?;
-        // What remains is told in whole milliseconds, rounded down: a part of one may be left.
-        std::thread::sleep(REMAINING_STEP);
+    /// Waits until the lease has expired.
+    pub(super) fn wait_for_lapse(&mut self) -> Result<(), ClauseError> {
+        let lapsed = self.wait_for(|peer| Ok(peer.heartbeat(None)?.lease_remaining_ms == 0))?;
+        // The remaining time is reported in whole milliseconds, rounded down, so that a fraction of a
+        // millisecond may be left.
+        std::thread::sleep(LEASE_RESOLUTION);
         super::expect("lease over after its time", lapsed, true)
     }
 
-    fn fill<B>(&self, call: ureq::RequestBuilder<B>, ask: &Ask) -> ureq::RequestBuilder<B> {
-        let headers = self.headers(ask).into_iter();
-        let wanted = headers.filter(|(name, _)| ask.without != Some(*name));
+    fn fill<B>(
+        &self,
+        call: ureq::RequestBuilder<B>,
+        request: &TestRequest,
+    ) -> ureq::RequestBuilder<B> {
+        let headers = self.headers(request).into_iter();
+        let wanted = headers.filter(|(name, _)| request.without != Some(*name));
         wanted.fold(call, |call, (name, value)| call.header(name, value))
     }
 
-    fn headers(&self, ask: &Ask) -> [(&'static str, String); 8] {
+    fn headers(&self, request: &TestRequest) -> [(&'static str, String); 8] {
         [
             (headers::SERVICE, self.options.service.to_string()),
-            (headers::SHARD, ask.shard.to_string()),
-            (headers::EPOCH, ask.epoch.to_string()),
-            (headers::KEY, format!("key-of-{}", ask.shard)),
-            (headers::REQUEST_ID, ask.id.clone()),
-            (headers::ATTEMPT, ask.attempt.to_string()),
-            (headers::REPEATABLE, ask.repeatable.to_string()),
-            (headers::DEADLINE_MS, ask.deadline_ms.to_string()),
+            (headers::SHARD, request.shard.to_string()),
+            (headers::EPOCH, request.epoch.to_string()),
+            (headers::KEY, format!("key-of-{}", request.shard)),
+            (headers::REQUEST_ID, request.id.clone()),
+            (headers::ATTEMPT, request.attempt.to_string()),
+            (headers::REPEATABLE, request.repeatable.to_string()),
+            (headers::DEADLINE_MS, request.deadline_ms.to_string()),
         ]
     }
 
@@ -366,7 +382,7 @@
         &self,
         call: &'static str,
         body: &impl Serialize,
-    ) -> Result<T, Breach> {
+    ) -> Result<T, ClauseError> {
         let body = serde_json::to_vec(body)?;
         read_json(call, self.agent.post(self.url(call)).send(&body[..]))
     }
@@ -376,27 +392,27 @@
     }
 }
 
-pub(super) fn request_id(text: &str) -> Result<RequestId, Breach> {
+pub(super) fn request_id(text: &str) -> Result<RequestId, ClauseError> {
     Ok(serde_json::from_value(text.into())?)
 }
 
-fn parse_refusal(text: &str) -> Result<Refusal, Breach> {
+fn parse_refusal(text: &str) -> Result<Refusal, ClauseError> {
     Ok(serde_json::from_value(text.into())?)
 }
 
 fn read_json<T: DeserializeOwned>(
     call: &'static str,
     answer: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
-) -> Result<T, Breach> {
+) -> Result<T, ClauseError> {
     let mut answer = answer.map_err(unreachable)?;
     let status = answer.status().as_u16();
     if status != 200 {
-        return Err(Breach::Status { call, status });
+        return Err(ClauseError::Status { call, status });
     }
     let body = answer.body_mut().read_to_vec().map_err(unreachable)?;
     Ok(serde_json::from_slice(&body)?)
 }
 
-fn unreachable(error: ureq::Error) -> Breach {
-    Breach::Unreachable(Box::new(error))
+fn unreachable(error: ureq::Error) -> ClauseError {
+    ClauseError::Unreachable(Box::new(error))
 }
--- a/crates/standin/src/contract/previous.rs
+++ b/crates/standin/src/contract/previous.rs
@@ -1,18 +1,18 @@
-//! Plays a shard's previous owner, whom the back end asks for the record.
+//! Simulates the previous owner of a shard, from which the back end fetches the record.
 
 use std::net::TcpListener;
 
 use grebepin_schema::{Epoch, HandoverAnswer, PreviousOwner, RecordEntry, RequestState};
 
 use super::peer::request_id;
-use super::Breach;
+use super::ClauseError;
 use crate::http::{Answer, HttpServer, Question, ServerHooks, ServerOptions};
 
-/// Epoch that the previous owner held the shard at.
+/// Epoch at which the previous owner held the shard.
 const PREVIOUS_EPOCH: u64 = 7;
 
-/// A previous owner that answers one record to every hand-over.
-pub(super) struct Previous {
+/// Server that answers every hand-over call with the same record.
+pub(super) struct PreviousOwnerServer {
     server: HttpServer<Record>,
 }
 
@@ -31,9 +31,12 @@
     }
 }
 
-impl Previous {
-    /// Starts with a record of requests in their states.
-    pub(super) fn start(complete: bool, record: &[(&str, RequestState)]) -> Result<Self, Breach> {
+impl PreviousOwnerServer {
+    /// Starts a server whose record holds these request ids and states.
+    pub(super) fn start(
+        complete: bool,
+        record: &[(&str, RequestState)],
+    ) -> Result<Self, ClauseError> {
         let entries = record.iter().map(|(id, state)| {
             Ok(RecordEntry {
                 request_id: request_id(id)?,
@@ -42,33 +45,33 @@
         });
         let answer = HandoverAnswer {
             complete,
-            entries: entries.collect::<Result<_, Breach>>()?,
+            entries: entries.collect::<Result<_, ClauseError>>()?,
         };
-        let listener = TcpListener::bind("127.0.0.1:0").map_err(Breach::Check)?;
+        let listener = TcpListener::bind("127.0.0.1:0").map_err(ClauseError::Check)?;
         let options = ServerOptions {
             connections: 16,
             maximum_body: 1024,
             ..ServerOptions::default()
         };
         let server =
-            HttpServer::start(listener, options, Record { answer }).map_err(Breach::Check)?;
+            HttpServer::start(listener, options, Record { answer }).map_err(ClauseError::Check)?;
         Ok(Self { server })
     }
 
-    /// As a grant names it.
-    pub(super) fn owner(&self) -> Result<PreviousOwner, Breach> {
+    /// Description of this server for a grant.
+    pub(super) fn owner(&self) -> Result<PreviousOwner, ClauseError> {
         previous_owner(&self.server.address().to_string(), true)
     }
 }
 
-impl Drop for Previous {
+impl Drop for PreviousOwnerServer {
     fn drop(&mut self) {
         self.server.stop();
     }
 }
 
-/// A previous owner at an address where nobody may listen.
-pub(super) fn previous_owner(address: &str, released: bool) -> Result<PreviousOwner, Breach> {
+/// Describes a previous owner at `address`, which need not be listened on.
+pub(super) fn previous_owner(address: &str, released: bool) -> Result<PreviousOwner, ClauseError> {
     Ok(PreviousOwner {
         server: serde_json::from_value("previous".into())?,
         address: serde_json::from_value(address.into())?,
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -1,7 +1,7 @@
-//! Writes what happened as one record of JSON a line, in the form of `schema/history.json`.
+//! Writes a history with one JSON record per line, in the format of `schema/history.json`.
 //!
-//! Invariant: a record is handed to the operating system in one write before [`HistoryWriter::record`]
-//! returns, so that it outlives the process (not the machine).
+//! Invariant: a record is passed to the operating system in a single write before
+//! [`HistoryWriter::record`] returns. It survives a crash of the process, but not of the machine.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -13,20 +13,20 @@
 
 use crate::lock;
 
-/// Appends records to a file; shared by the threads of a process.
+/// Appends records to a file. Can be shared by the threads of a process.
 #[derive(Debug)]
 pub struct HistoryWriter {
     file: Option<Mutex<File>>,
-    /// Time since 1970 at `started`, so that all processes of a machine share one clock.
+    /// Time since the Unix epoch at `started`. All processes of a machine thus record on one clock.
     epoch: Duration,
     started: Instant,
 }
 
 impl HistoryWriter {
-    /// Opens `path` for appending; without a path every record is dropped.
+    /// Opens `path` for appending. Without a path every record is discarded.
     ///
     /// # Errors
-    /// The file can't be opened.
+    /// Fails if the file can't be opened.
     pub fn open(path: Option<&Path>) -> io::Result<Self> {
         let file = path
             .map(|path| File::options().append(true).create(true).open(path))
@@ -41,15 +41,15 @@
         })
     }
 
-    /// Whether records are kept.
+    /// Whether records are written to a file.
     pub fn is_open(&self) -> bool {
         self.file.is_some()
     }
 
-    /// Appends what happened at `at`.
+    /// Appends a record of `event` at the time `at`.
     ///
     /// # Errors
-    /// The record can't be written; the effect it stands for was not made.
+    /// Fails if the record can't be written; the caller must not make the effect that it stands for.
     pub fn record(&self, at: Instant, event: HistoryEvent) -> io::Result<()> {
         let Some(file) = &self.file else {
             return Ok(());
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the systems served: back end, caller, platform list; and the contract check that
-//! any back end can be put through.
+//! Simulated back ends, callers and platform machine list for tests and benchmarks, and a check that
+//! any back end keeps the contract of `docs/INTERFACES.md`.
 //!
-//! Invariant: a stand-in never hides a stall: times count from when something should have happened.
+//! Invariant: a stall is never hidden. Latencies count from the intended start of a request.
 
 pub mod back_end;
 pub mod caller;
@@ -14,12 +14,12 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Locks, also when another thread panicked while it held the lock.
+/// Locks `mutex` and ignores poisoning.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A time from a flag in ms; not a number or below zero counts as zero.
+/// Converts a flag in ms to a duration. NaN and negative values become zero.
 fn milliseconds(value: f64) -> Duration {
     Duration::try_from_secs_f64(value / 1000.0).unwrap_or_default()
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,11 +1,11 @@
-//! Entry point of `grebepin-standin`: one stand-in, or the contract check of a back end.
+//! Entry point of `grebepin-standin`: runs one stand-in process or the contract check of a back end.
 
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 use grebepin_standin::{back_end, caller, contract, platform};
 
-/// Exit code when a clause of the contract is not kept.
+/// Exit code when the back end fails a clause of the contract.
 const NOT_KEPT: u8 = 1;
 
 #[derive(Parser)]
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,9 +1,10 @@
-//! Stand-in of the platform's list of machines, which lags.
+//! Simulated machine list of the platform, which publishes changes after a configurable lag.
 //!
-//! `GET /machines` answers the list as it was set a lag ago; `POST /stand-in/machines` with a list
-//! as JSON sets it anew; `POST /stand-in/machine?server=S&state=live|leaving|gone` changes one entry.
+//! `GET /machines` returns the published list. `POST /stand-in/machines` replaces the list with the
+//! one in its JSON body, and `POST /stand-in/machine?server=S&state=live|leaving|gone` changes one
+//! entry.
 //!
-//! Invariant: the list is never newer than the lag, and a change never overtakes an earlier one.
+//! Invariant: no change is published before the lag has passed, and changes are published in order.
 
 use std::collections::VecDeque;
 use std::io;
@@ -18,71 +19,71 @@
 
 use crate::lock;
 
-/// How often a running list looks whether to stop.
+/// Interval at which the running server checks whether to stop.
 const STOP_CHECK: Duration = Duration::from_millis(100);
 
-/// Threads that answer.
+/// Number of threads that serve requests.
 const THREADS: usize = 4;
 
-/// Flags of the platform's list.
+/// Flags of the simulated machine list.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
     /// Address to listen on.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// Age of what the list says, in ms.
+    /// Time until a change is published, in ms.
     #[arg(long, default_value_t = 5000)]
     pub lag_ms: u64,
-    /// Server that is live at the start; give it again for more.
+    /// Server that is live at the start; may be repeated.
     #[arg(long = "machine")]
     pub machines: Vec<ServerName>,
 }
 
-/// Why the list could not be served.
+/// Reasons why the list could not be served.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// The address can't be listened on.
+    /// Binding the listener failed.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// Address from the flags.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the HTTP library.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// Signals can't be watched.
+    /// Installing the signal handler failed.
     #[error("cannot watch signals: {0}")]
     Signals(#[source] io::Error),
 }
 
-/// The list with its lag.
+/// The published list and the changes whose lag hasn't passed yet.
 #[derive(Debug)]
-struct Lagging {
+struct DelayedList {
     lag: Duration,
-    shown: MachineList,
-    coming: VecDeque<(Instant, MachineList)>,
+    published: MachineList,
+    pending: VecDeque<(Instant, MachineList)>,
 }
 
-impl Lagging {
-    fn show(&mut self) -> &MachineList {
+impl DelayedList {
+    fn published(&mut self) -> &MachineList {
         while self
-            .coming
+            .pending
             .front()
             .is_some_and(|(set, _)| set.elapsed() >= self.lag)
         {
-            if let Some((_, list)) = self.coming.pop_front() {
-                self.shown = list;
+            if let Some((_, list)) = self.pending.pop_front() {
+                self.published = list;
             }
         }
-        &self.shown
+        &self.published
     }
 
     fn set(&mut self, list: MachineList) {
-        self.coming.push_back((Instant::now(), list));
+        self.pending.push_back((Instant::now(), list));
     }
 
     fn change(&mut self, server: ServerName, state: MachineState) {
-        let newest = self.coming.back().map(|(_, list)| list);
-        let mut list = newest.unwrap_or(&self.shown).clone();
+        let newest = self.pending.back().map(|(_, list)| list);
+        let mut list = newest.unwrap_or(&self.published).clone();
         list.machines.retain(|machine| machine.server != server);
         list.machines.push(Machine { server, state });
         self.set(list);
@@ -91,27 +92,27 @@
 
 type Handler = Box<dyn Fn(&Request) -> Response + Send + Sync>;
 
-/// A list running in this process.
+/// A machine list that is served by this process.
 pub struct Platform {
     server: Server<Handler>,
 }
 
 impl Platform {
-    /// Starts to listen; [`serve`](Self::serve) answers.
+    /// Binds the listener. Requests are answered only by [`serve`](Self::serve).
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// Fails if the address can't be listened on.
     pub fn start(arguments: &Args) -> Result<Self, PlatformError> {
         let machines = arguments.machines.iter().map(|server| Machine {
             server: server.clone(),
             state: MachineState::Live,
         });
-        let list = Mutex::new(Lagging {
+        let list = Mutex::new(DelayedList {
             lag: Duration::from_millis(arguments.lag_ms),
-            shown: MachineList {
+            published: MachineList {
                 machines: machines.collect(),
             },
-            coming: VecDeque::new(),
+            pending: VecDeque::new(),
         });
         let handler: Handler = Box::new(move |request| answer(&list, request));
         let address = arguments.listen;
@@ -122,12 +123,12 @@
         Ok(Self { server })
     }
 
-    /// Where it listens.
+    /// Address that the list listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.server_addr()
     }
 
-    /// Answers until `stop` is set.
+    /// Answers requests until `stop` is set.
     pub fn serve(&self, stop: &AtomicBool) {
         while !stop.load(Ordering::SeqCst) {
             self.server.poll_timeout(STOP_CHECK);
@@ -138,7 +139,7 @@
 /// Serves the list until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The address can't be listened on, or signals can't be watched.
+/// Fails if the address can't be listened on or the signal handler can't be installed.
 pub fn run(arguments: &Args) -> Result<(), PlatformError> {
     use signal_hook::consts::{SIGINT, SIGTERM};
     let stop = Arc::new(AtomicBool::new(false));
@@ -150,9 +151,9 @@
     Ok(())
 }
 
-fn answer(list: &Mutex<Lagging>, request: &Request) -> Response {
+fn answer(list: &Mutex<DelayedList>, request: &Request) -> Response {
     match (request.method(), request.url().as_str()) {
-        ("GET", "/machines") => Response::json(lock(list).show()),
+        ("GET", "/machines") => Response::json(lock(list).published()),
         ("POST", "/stand-in/machines") => match rouille::input::json_input(request) {
             Ok(new) => {
                 lock(list).set(new);
@@ -165,7 +166,7 @@
     }
 }
 
-fn change(list: &Mutex<Lagging>, request: &Request) -> Response {
+fn change(list: &Mutex<DelayedList>, request: &Request) -> Response {
     let server = request
         .get_param("server")
         .and_then(|text| text.parse().ok());
--- a/crates/standin/tests/callers.rs
+++ b/crates/standin/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: plan, outcome rules, flags, and whole runs against a scripted router.
+//! Simulated callers: plan, outcome rules, flags, and complete runs against a scripted router.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn flags_without_sense_are_refused() {
+fn invalid_flags_are_refused() {
     let table = [
         vec![],
         vec!["--class", APPROVE, "--rate", "0"],
@@ -118,7 +118,7 @@
     #[rustfmt::skip]
     let table = [
         (AfterUnknown::Resend, 1, false, Some(Outcome::Answered), NextStep::Done),
-        (AfterUnknown::Resend, 1, false, Some(Outcome::NotRun), NextStep::Anew(default)),
+        (AfterUnknown::Resend, 1, false, Some(Outcome::NotRun), NextStep::NewRequest(default)),
         (AfterUnknown::Resend, 3, false, Some(Outcome::NotRun), NextStep::Done),
         (AfterUnknown::Resend, 1, false, unknown, NextStep::Resend(default)),
         (AfterUnknown::Resend, 1, false, None, NextStep::Resend(default)),
@@ -137,19 +137,19 @@
         let step = next_step(rules(after), sent, repeatable, &result);
         assert_eq!(step, expected, "{after:?} {sent} {repeatable} {outcome:?}");
     }
-    let patient = AttemptResult {
+    let long_pause = AttemptResult {
         outcome: Some(Outcome::NotRun),
         retry_after: Some(Duration::from_secs(60)),
         ..AttemptResult::default()
     };
-    let bounded = NextStep::Anew(Duration::from_secs(2));
+    let bounded = NextStep::NewRequest(Duration::from_secs(2));
     assert_eq!(
-        next_step(rules(AfterUnknown::Resend), 1, false, &patient),
+        next_step(rules(AfterUnknown::Resend), 1, false, &long_pause),
         bounded
     );
 }
 
-/// Answers the attempts of each request by a script; the last answer repeats.
+/// Router that answers the attempts of each request by a script, whose last answer repeats.
 struct ScriptedRouter {
     script: Vec<&'static str>,
     seen: Mutex<BTreeMap<String, usize>>,
@@ -164,9 +164,9 @@
         }
         let number = id.split('.').next().unwrap_or_default().to_owned();
         let mut seen = self.seen.lock().unwrap();
-        let place = seen.entry(number).or_default();
-        let step = self.script[(*place).min(self.script.len() - 1)];
-        *place += 1;
+        let position = seen.entry(number).or_default();
+        let step = self.script[(*position).min(self.script.len() - 1)];
+        *position += 1;
         drop(seen);
         let owner = serde_json::json!({"server": "s", "request_id": id, "key": key, "epoch": 1,
             "body_bytes": question.body.len(), "padding": ""});
@@ -185,7 +185,7 @@
     }
 }
 
-/// Runs 20 requests of one class against a script; returns summary and history.
+/// Runs 20 requests of one class against a script. Returns the summary and the history.
 fn run(script: &[&'static str], more: &[&str]) -> (Summary, Vec<HistoryRecord>) {
     let folder = tempfile::tempdir().unwrap();
     let history = folder.path().join("history.jsonl");
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn nobody_listening_counts_as_no_answer() {
+fn a_refused_connection_counts_as_no_answer() {
     let closed = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -1,4 +1,4 @@
-//! Every clause of the interface page, against the stand-in and against the example in Python.
+//! Runs the contract check against the simulated back end and the Python example.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
         server: name.parse().unwrap(),
         service: name.parse().unwrap(),
         slow_path: Some("/slow".into()),
-        only: only.iter().map(|start| start.to_string()).collect(),
+        only: only.iter().map(|prefix| prefix.to_string()).collect(),
     })
 }
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_back_end_without_a_guard_is_found_out() {
+fn a_back_end_without_a_guard_fails_its_clause() {
     #[rustfmt::skip]
     let table = [
         (Guard::Nonce, "lease: counts from the issue of the nonce"),
--- a/crates/standin/tests/stand_ins.rs
+++ b/crates/standin/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The back end's bounds, faults and planned stop; the platform's lag.
+//! Limits, faults and planned stop of the simulated back end; lag of the simulated machine list.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,8 +13,8 @@
 use grebepin_standin::platform::{self, Platform};
 use serde_json::{json, Value};
 
-/// Looks at a server before a test gives up.
-const MOST_LOOKS: u32 = 100_000;
+/// Number of polls of a server after which a test fails.
+const MAXIMUM_POLLS: u32 = 100_000;
 
 #[derive(Parser)]
 struct BackEndFlags {
@@ -34,7 +34,7 @@
     BackEnd::start(&flags.back_end).unwrap()
 }
 
-/// Sends a request and returns status, head and body; `None` when the connection was closed.
+/// Sends a request and returns status, head and body; `None` if the connection was closed.
 fn call(address: SocketAddr, head: &str, body: &str) -> Option<(u16, String, String)> {
     let mut stream = TcpStream::connect(address).unwrap();
     let length = body.len();
@@ -55,7 +55,7 @@
     serde_json::from_str(&body).unwrap_or_default()
 }
 
-/// Gives the server a lease of a minute and shard 0 at epoch 5.
+/// Grants the server a lease of one minute and shard 0 at epoch 5.
 fn grant(address: SocketAddr) {
     grant_for(address, 60_000);
 }
@@ -77,7 +77,7 @@
     assert_eq!(answer["accepted"].as_array().unwrap().len(), 1);
 }
 
-/// Sends a request; the answer's status and refusal.
+/// Sends a request and returns the status and refusal of the answer.
 fn ask(address: SocketAddr, id: &str, query: &str) -> Option<(u16, String)> {
     let head = format!(
         "POST /post{query} HTTP/1.1\r\nGrebepin-Service: ledger\r\nGrebepin-Shard: 0\r\n\
@@ -104,9 +104,9 @@
     serde_json::from_str(&body).unwrap()
 }
 
-/// Asks until the load answer says so.
-fn await_load(address: SocketAddr, member: &str, wanted: u32) {
-    let seen = (0..MOST_LOOKS).any(|_| load(address)[member] == wanted);
+/// Polls the load answer until `member` has the wanted value.
+fn wait_for_load(address: SocketAddr, member: &str, wanted: u32) {
+    let seen = (0..MAXIMUM_POLLS).any(|_| load(address)[member] == wanted);
     assert!(seen, "{member} never was {wanted}");
 }
 
@@ -138,9 +138,9 @@
     grant(address);
     std::thread::scope(|scope| {
         let running = scope.spawn(|| ask(address, "running", "?work_ms=1500"));
-        await_load(address, "in_flight", 1);
+        wait_for_load(address, "in_flight", 1);
         let waiting = scope.spawn(|| ask(address, "waiting", "?work_ms=1"));
-        await_load(address, "waiting", 1);
+        wait_for_load(address, "waiting", 1);
         assert_eq!(ask(address, "shed", ""), Some((503, "shed".into())));
         assert_eq!(running.join().unwrap(), ran());
         assert_eq!(waiting.join().unwrap(), ran());
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn lies_differ_from_the_truth() {
+fn false_reports_replace_the_real_state() {
     let back_end = start(&["--slots", "3"]);
     let address = back_end.address();
     for (mode, waiting, health) in [
@@ -206,13 +206,13 @@
 }
 
 #[test]
-fn a_frozen_server_makes_no_effect_when_it_wakes() {
+fn a_frozen_server_makes_no_effect_after_its_lease() {
     let back_end = start(&[]);
     let address = back_end.address();
     grant_for(address, 3000);
     std::thread::scope(|scope| {
         let running = scope.spawn(|| ask(address, "running", "?work_ms=500"));
-        await_load(address, "in_flight", 1);
+        wait_for_load(address, "in_flight", 1);
         post(address, "/stand-in/freeze?ms=4000", &Value::Null);
         assert_eq!(running.join().unwrap(), Some((503, "no-lease".into())));
     });
@@ -230,7 +230,7 @@
     grant(address);
     std::thread::scope(|scope| {
         let running = scope.spawn(|| ask(address, "running", "?work_ms=800"));
-        await_load(address, "in_flight", 1);
+        wait_for_load(address, "in_flight", 1);
         let stopping = scope.spawn(|| back_end.stop());
         let release = json!({"group": 1, "term": 1, "shards": [{"service": "ledger", "shard": 0, "epoch": 5}]});
         while post(address, "/grebepin/v1/release", &release)["busy"] != json!([]) {}
@@ -253,8 +253,8 @@
 }
 
 #[test]
-fn the_platform_lags() {
-    // (lag in ms, what is shown right after a change)
+fn the_machine_list_is_published_after_the_lag() {
+    // (lag in ms, state that is published right after a change)
     for (lag, shown) in [("0", "gone"), ("3600000", "live")] {
         let fixed = [
             "platform",
