--- a/crates/http/src/question.rs
+++ b/crates/http/src/request.rs
@@ -1,7 +1,6 @@
-//! Reads questions.
+//! Requests and their parsing.
 //!
-//! Invariant: a head over its bound, a body over its bound or a body of unstated length is refused
-//! before it is read.
+//! Invariant: a head or body over its limit, or a body of unknown length, is rejected before it is read.
 
 use std::io::{self, BufRead, Read, Write};
 
@@ -11,31 +10,31 @@
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Why a question can't be read.
+/// Reason why no request could be read.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The peer closed before a question.
+    /// The peer closed the connection before sending a request.
     #[error("connection closed")]
     Closed,
-    /// The connection failed.
+    /// Reading or writing failed, or timed out.
     #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The bytes are no request.
+    /// The bytes are not a valid request.
     #[error("malformed message")]
     Malformed,
-    /// The head is over its bound.
+    /// The head exceeds [`ServerOptions::maximum_head`].
     #[error("head over the bound")]
     HeadTooLarge,
-    /// The body is over its bound.
+    /// The body exceeds [`ServerOptions::maximum_body`].
     #[error("body over the bound")]
     BodyTooLarge,
-    /// The body states no length, or one that is none.
+    /// The `Content-Length` is not a number of bytes, or the body has a transfer encoding.
     #[error("body without a Content-Length in bytes")]
     LengthRequired,
 }
 
 impl MessageError {
-    /// Status of the answer; none when there is nobody to answer.
+    /// Status code of the response; `None` if the connection can't carry one.
     pub fn status(&self) -> Option<u16> {
         match self {
             Self::Closed | Self::Io(_) => None,
@@ -47,49 +46,51 @@
     }
 }
 
-/// One request.
+/// An HTTP request.
 #[derive(Debug)]
-pub struct Question {
-    /// HTTP method.
+pub struct HttpRequest {
+    /// Method in the request line, such as `GET`.
     pub method: String,
-    /// Path without the query.
+    /// Path of the request target, without the query; not percent-decoded.
     pub path: String,
     query: String,
     headers: Vec<(String, String)>,
     keep_alive: bool,
-    /// Body.
+    /// Body of the request; empty if there is none.
     pub body: Vec<u8>,
 }
 
-impl Question {
-    /// Reads one request within the bounds; asks on `writer` for a body that waits to be asked for.
+impl HttpRequest {
+    /// Reads one request within the limits. Sends `100 Continue` on `writer` if the peer waits for it before
+    /// it sends the body.
     ///
     /// # Errors
-    /// [`MessageError`] when the peer closes, is too slow, or sends what is no request within bounds.
+    /// [`MessageError`] if the peer closes the connection, is too slow, or sends an invalid or too large
+    /// request.
     pub fn read(
         reader: &mut impl BufRead,
         writer: &mut impl Write,
         options: &ServerOptions,
     ) -> Result<Self, MessageError> {
         let head = read_head(reader, options.maximum_head)?;
-        let mut question = parse_head(&head, options.maximum_headers)?;
-        let length = question.body_length()?;
+        let mut request = parse_head(&head, options.maximum_headers)?;
+        let length = request.body_length()?;
         if length > options.maximum_body {
             return Err(MessageError::BodyTooLarge);
         }
-        if question.has("Expect", "100-continue") {
+        if request.header_equals("Expect", "100-continue") {
             writer.write_all(CONTINUE)?;
         }
-        question.body = vec![0; length];
-        reader.read_exact(&mut question.body)?;
-        Ok(question)
+        request.body = vec![0; length];
+        reader.read_exact(&mut request.body)?;
+        Ok(request)
     }
 
     fn body_length(&self) -> Result<usize, MessageError> {
         if self.header("Transfer-Encoding").is_some() {
             return Err(MessageError::LengthRequired);
         }
-        let mut lengths = self.values("Content-Length");
+        let mut lengths = self.header_values("Content-Length");
         let first = lengths.next();
         if lengths.any(|other| Some(other) != first) {
             return Err(MessageError::Malformed);
@@ -100,24 +101,27 @@
         }
     }
 
-    fn has(&self, name: &str, value: &str) -> bool {
+    fn header_equals(&self, name: &str, value: &str) -> bool {
         let found = self.header(name);
         found.is_some_and(|found| found.trim().eq_ignore_ascii_case(value))
     }
 
-    /// A header's first value; names are compared without case.
+    /// First value of a header field; names are compared case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.values(name).next()
+        self.header_values(name).next()
     }
 
-    fn values<'a, 'b>(&'a self, name: &'b str) -> impl Iterator<Item = &'a str> + use<'a, 'b> {
+    fn header_values<'a, 'b>(
+        &'a self,
+        name: &'b str,
+    ) -> impl Iterator<Item = &'a str> + use<'a, 'b> {
         let headers = self.headers.iter();
         headers
             .filter(move |(known, _)| known.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.as_str())
     }
 
-    /// A parameter of the query.
+    /// Decoded value of the first query parameter with this name.
     pub fn parameter(&self, name: &str) -> Option<String> {
         let mut pairs = form_urlencoded::parse(self.query.as_bytes());
         pairs
@@ -125,19 +129,20 @@
             .map(|(_, value)| value.into_owned())
     }
 
-    /// The query's parameter, parsed.
-    pub fn parsed<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
+    /// Query parameter with this name, parsed; `None` if it is absent or can't be parsed.
+    pub fn parse_parameter<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.parameter(name)?.parse().ok()
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 
-    /// Whether the peer wants the connection closed after the answer.
+    /// Whether the connection must be closed after the response: the request is older than HTTP/1.1 or has
+    /// `Connection: close`.
     pub fn wants_close(&self) -> bool {
-        !self.keep_alive || self.has("Connection", "close")
+        !self.keep_alive || self.header_equals("Connection", "close")
     }
 }
 
@@ -160,12 +165,12 @@
     }
 }
 
-/// Whether a line has nothing but its end.
+/// Whether a line consists of its line end only.
 fn is_empty(line: &[u8]) -> bool {
     matches!(line, b"\r\n" | b"\n")
 }
 
-fn parse_head(head: &[u8], maximum_headers: usize) -> Result<Question, MessageError> {
+fn parse_head(head: &[u8], maximum_headers: usize) -> Result<HttpRequest, MessageError> {
     let mut headers = vec![httparse::EMPTY_HEADER; maximum_headers];
     let mut request = httparse::Request::new(&mut headers);
     let parsed = request.parse(head).map_err(|_| MessageError::Malformed)?;
@@ -178,7 +183,7 @@
         let value = std::str::from_utf8(header.value).map_err(|_| MessageError::Malformed)?;
         Ok((header.name.to_owned(), value.to_owned()))
     });
-    Ok(Question {
+    Ok(HttpRequest {
         method: method.to_owned(),
         path: path.to_owned(),
         query: query.to_owned(),
