--- a/crates/standin/src/caller/client.rs
+++ b/crates/standin/src/caller/client.rs
@@ -1,6 +1,7 @@
 //! HTTP client that sends one attempt to a router and validates the answer.
 //!
-//! Invariant: an answer counts as whole only if its body was received completely and names the request.
+//! Invariant: an answer counts as whole only if its body was received completely and is valid. The body
+//! of an answered request names the request and its key; that of a rejection is a [`Reject`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -46,7 +47,7 @@
 pub(super) struct Client {
     agent: ureq::Agent,
     /// Time to wait for an answer after the deadline.
-    patience: Duration,
+    answer_grace: Duration,
 }
 
 impl Client {
@@ -59,16 +60,16 @@
             .build();
         Self {
             agent: config.into(),
-            patience: Duration::from_millis(arguments.patience_ms),
+            answer_grace: Duration::from_millis(arguments.patience_ms),
         }
     }
 
-    /// Sends an attempt and waits for the answer until the deadline plus `patience`.
+    /// Sends an attempt and waits for the answer until the deadline plus `answer_grace`.
     pub(super) fn send(&self, attempt: &Attempt<'_>) -> AttemptResult {
         let class = attempt.class;
         let service = class.service.as_str();
         let url = format!("http://{}/{service}{}", attempt.router, class.path);
-        let time = Duration::from_millis(class.deadline_ms) + self.patience;
+        let time = Duration::from_millis(class.deadline_ms) + self.answer_grace;
         let answer = match class.method.as_str() {
             "GET" => {
                 let call = self.agent.get(url).config().timeout_global(Some(time));
--- a/crates/standin/src/caller/rules.rs
+++ b/crates/standin/src/caller/rules.rs
@@ -22,7 +22,8 @@
     pub outcome: Option<Outcome>,
     /// Request id that the answer names.
     pub answer_for: Option<RequestId>,
-    /// Whether the answer was received completely and names the request.
+    /// Whether the answer was received completely and is valid: the body of an answered request names the
+    /// request and its key, and that of a rejection is a `Reject`.
     pub whole: bool,
     /// Kind of rejection that the router states.
     pub rejected: Option<String>,
--- a/crates/standin/src/caller/summary.rs
+++ b/crates/standin/src/caller/summary.rs
@@ -49,8 +49,8 @@
     pub unknown: u64,
     /// Without an answer in time.
     pub no_answer: u64,
-    /// Answers that named another request or none, or were incomplete. Each is also counted by its
-    /// outcome.
+    /// Answers with an outcome but an invalid body: one that doesn't name the request and its key, or
+    /// isn't a rejection. Each is also counted by its outcome.
     pub wrong_answer: u64,
 }
 
