--- a/crates/check/src/promises/whole_answer.rs
+++ b/crates/check/src/promises/whole_answer.rs
@@ -36,5 +36,6 @@
     if answer.answer_for.is_none() {
         return Some(format!("the answer to {request} does not name its request"));
     }
-    (answer.whole != Some(true)).then(|| format!("the answer to {request} was incomplete or invalid"))
+    (answer.whole != Some(true))
+        .then(|| format!("the answer to {request} was incomplete or invalid"))
 }
