--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -49,7 +49,7 @@
     /// Appends a record of `event` at the time `at`.
     ///
     /// # Errors
-    /// Fails if the record can't be written; the caller must not make the effect that it stands for.
+    /// Fails if the record can't be written. An effect whose record failed counts as not made.
     pub fn record(&self, at: Instant, event: HistoryEvent) -> io::Result<()> {
         let Some(file) = &self.file else {
             return Ok(());
