--- a/crates/standin/src/back_end/control_api.rs
+++ b/crates/standin/src/back_end/control_api.rs
@@ -1,4 +1,4 @@
-//! The contract's control calls, and the switches of the stand-in.
+//! The control calls of the contract, and the calls that inject faults.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 
 use super::node::Node;
-use super::Lie;
+use super::FalseReport;
 use crate::http::{HttpRequest, HttpResponse};
 use crate::milliseconds;
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Starts or ends leaving, and records it.
+    /// Starts or ends draining, and records a change.
     pub(crate) fn drain(&self, draining: bool) {
         let name = self.arguments.name.clone();
         let event = match draining {
@@ -61,12 +61,12 @@
         }
     }
 
-    /// `POST /stand-in/freeze?ms=N` and `POST /stand-in/lie?mode=none|idle|busy|failing`.
-    pub(crate) fn answer_switch(&self, http_request: &HttpRequest) -> HttpResponse {
-        self.switch(http_request).without_delay()
+    /// Serves `POST /stand-in/freeze?ms=N` and `POST /stand-in/lie?mode=none|idle|busy|failing`.
+    pub(crate) fn answer_fault_call(&self, http_request: &HttpRequest) -> HttpResponse {
+        self.inject_fault(http_request).without_delay()
     }
 
-    fn switch(&self, http_request: &HttpRequest) -> HttpResponse {
+    fn inject_fault(&self, http_request: &HttpRequest) -> HttpResponse {
         match (http_request.method.as_str(), http_request.path.as_str()) {
             ("POST", "/stand-in/freeze") => match http_request.parse_parameter("ms") {
                 Some(time) => {
@@ -77,9 +77,9 @@
             },
             ("POST", "/stand-in/lie") => {
                 let mode = http_request.parameter("mode").unwrap_or_default();
-                match Lie::from_str(&mode, true) {
-                    Ok(lie) => {
-                        self.faults.set_lie(lie);
+                match FalseReport::from_str(&mode, true) {
+                    Ok(report) => {
+                        self.faults.set_false_report(report);
                         HttpResponse::text(200, "set")
                     }
                     Err(_) => HttpResponse::text(400, "mode is none, idle, busy or failing"),
