--- a/crates/sim/src/world/faults.rs
+++ b/crates/sim/src/world/faults.rs
@@ -93,7 +93,7 @@
             .collect()
     }
 
-    /// Whether the next response to an operator is lost; counts it.
+    /// Whether the next response to an operator is lost; decrements the number of responses to lose.
     pub(super) fn lose_answer(&mut self) -> bool {
         let lose = self.answers_to_lose > 0;
         self.answers_to_lose = self.answers_to_lose.saturating_sub(1);
--- a/crates/sim/src/world/processes.rs
+++ b/crates/sim/src/world/processes.rs
@@ -20,7 +20,7 @@
         ActiveFault::Down(process)
     }
 
-    /// Stops a process and discards its memory; a restart opens it from its disk.
+    /// Stops a process. A restart creates it anew, a control replica from its disk.
     pub(super) fn stop_process(&mut self, process: Process) {
         match process {
             Process::Control(number) => {
