--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,6 +1,6 @@
-//! Numbered log events with their catalogue, log set-up and metrics.
+//! Numbered log events and their catalogue, logging set-up and metrics.
 //!
-//! Invariant: every log line of a daemon is an [`Event`]; `docs/EVENTS.md` lists exactly these.
+//! Invariant: every log line of a daemon is an [`Event`], and `docs/EVENTS.md` lists exactly these events.
 
 pub mod event;
 pub mod metrics;
@@ -13,7 +13,7 @@
 };
 pub use structured::start_structured_logging;
 
-/// Logs one event of the catalogue, with named values.
+/// Logs one event of the catalogue with key-value pairs.
 ///
 /// `event!(Event::LeaderElected, term = term.0, leader = replica.0)`
 #[macro_export]
@@ -30,7 +30,8 @@
 
 pub use log;
 
-/// Sets up logging to standard error; the environment variable `GREBEPIN_LOG` overrides `level`.
+/// Starts logging to standard error; the environment variable `GREBEPIN_LOG` overrides `level`. If a logger is
+/// already installed, the call has no effect.
 pub fn start_logging(level: log::LevelFilter) {
     let mut builder = env_logger::Builder::new();
     builder.filter_level(level);
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a daemon and their text form for `GET /metrics`.
+//! Metrics of a daemon and their Prometheus text format for `GET /metrics`.
 //!
 //! Invariant: every name starts with `grebepin_`, ends in its unit, and is registered once.
 
@@ -19,57 +19,57 @@
 pub use prometheus::{Histogram, IntCounter as Counter, IntGauge as Gauge};
 pub use router::{RouterMetrics, ServiceMetrics};
 
-/// Prefix of every metric's name.
+/// Prefix of all metric names.
 const NAMESPACE: &str = "grebepin";
 
-/// Content type of [`Metrics::render`]'s text.
+/// Content type of the text that [`Metrics::render`] returns.
 pub const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Upper bounds in seconds of the buckets of request times, from 0.5 ms to 10 s.
+/// Upper bounds in seconds of the histogram buckets for request durations, from 0.5 ms to 10 s.
 pub const REQUEST_SECONDS_BUCKETS: &[f64] = &[
     0.0005, 0.001, 0.002, 0.004, 0.008, 0.012, 0.016, 0.032, 0.064, 0.125, 0.25, 0.5, 1.0, 2.0,
     5.0, 10.0,
 ];
 
-/// Upper bounds in seconds of the buckets of disk syncs, from 0.1 ms to 1 s.
+/// Upper bounds in seconds of the histogram buckets for disk syncs, from 0.1 ms to 1 s.
 pub const SYNC_SECONDS_BUCKETS: &[f64] = &[
     0.0001, 0.0002, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0,
 ];
 
-/// Why a metric could not be made or rendered.
+/// Error when a metric is registered or the metrics are rendered.
 #[derive(Debug, thiserror::Error)]
 pub enum MetricsError {
-    /// The name is taken or malformed, or the labels don't fit.
+    /// The name is already registered or invalid, or the labels are invalid.
     #[error("metric {name}: {source}")]
     Register {
         /// Name of the metric.
         name: String,
-        /// What the library says.
+        /// Error of the Prometheus library.
         source: prometheus::Error,
     },
-    /// The registry could not be rendered.
+    /// The registry could not be encoded as text.
     #[error("metrics do not render: {0}")]
     Render(prometheus::Error),
 }
 
-/// The metrics of one process; clones share them.
+/// The metrics registry of one process; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     registry: Registry,
 }
 
 impl Metrics {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A counter named `grebepin_NAME`.
+    /// Registers a counter named `grebepin_NAME`.
     pub fn counter(&self, name: &str, help: &str) -> Result<IntCounter, MetricsError> {
         self.register(name, IntCounter::with_opts(options(name, help)))
     }
 
-    /// Counters told apart by labels.
+    /// Registers counters named `grebepin_NAME`, one for each combination of label values.
     pub fn counters(
         &self,
         name: &str,
@@ -79,12 +79,12 @@
         self.register(name, IntCounterVec::new(options(name, help), labels))
     }
 
-    /// A gauge named `grebepin_NAME`.
+    /// Registers a gauge named `grebepin_NAME`.
     pub fn gauge(&self, name: &str, help: &str) -> Result<IntGauge, MetricsError> {
         self.register(name, IntGauge::with_opts(options(name, help)))
     }
 
-    /// Gauges told apart by labels.
+    /// Registers gauges named `grebepin_NAME`, one for each combination of label values.
     pub fn gauges(
         &self,
         name: &str,
@@ -94,7 +94,7 @@
         self.register(name, IntGaugeVec::new(options(name, help), labels))
     }
 
-    /// A histogram with the stated upper bounds of its buckets.
+    /// Registers a histogram named `grebepin_NAME`; `buckets` holds the upper bounds of its buckets.
     pub fn histogram(
         &self,
         name: &str,
@@ -105,7 +105,7 @@
         self.register(name, Histogram::with_opts(options))
     }
 
-    /// Histograms told apart by labels.
+    /// Registers histograms named `grebepin_NAME`, one for each combination of label values.
     pub fn histograms(
         &self,
         name: &str,
@@ -117,7 +117,7 @@
         self.register(name, HistogramVec::new(options, labels))
     }
 
-    /// Every metric in Prometheus' text form, see [`METRICS_CONTENT_TYPE`].
+    /// All metrics in the Prometheus text format; the content type is [`METRICS_CONTENT_TYPE`].
     pub fn render(&self) -> Result<String, MetricsError> {
         let mut text = Vec::new();
         TextEncoder::new()
@@ -129,13 +129,13 @@
     fn register<T: Collector + Clone + 'static>(
         &self,
         name: &str,
-        made: Result<T, prometheus::Error>,
+        created: Result<T, prometheus::Error>,
     ) -> Result<T, MetricsError> {
         let failed = |source| MetricsError::Register {
             name: name.to_owned(),
             source,
         };
-        let metric = made.map_err(failed)?;
+        let metric = created.map_err(failed)?;
         self.registry
             .register(Box::new(metric.clone()))
             .map_err(failed)?;
--- a/crates/telemetry/src/metrics/control.rs
+++ b/crates/telemetry/src/metrics/control.rs
@@ -4,12 +4,12 @@
 
 use super::{Metrics, MetricsError, SYNC_SECONDS_BUCKETS};
 
-/// What a control replica counts.
+/// Metrics that a control replica records.
 #[derive(Clone, Debug)]
 pub struct ControlMetrics {
     /// Current term.
     pub term: IntGauge,
-    /// 1 while this replica leads, else 0.
+    /// 1 while this replica is the leader, else 0.
     pub is_leader: IntGauge,
     /// Highest committed log index.
     pub commit_index: IntGauge,
@@ -19,15 +19,15 @@
     pub bundle_version: IntGauge,
     /// Shards without an owner.
     pub unowned_shards: IntGauge,
-    /// Shards being handed over.
+    /// Shards being moved to another server.
     pub moving_shards: IntGauge,
-    /// Elections this replica won.
+    /// Elections won by this replica.
     pub elections_won: IntCounter,
     /// Entries proposed by this replica.
     pub proposals: IntCounter,
     /// Requests to back ends, by `kind` and `result` (`answered` or `failed`).
     pub back_end_requests: IntCounterVec,
-    /// Time of each sync of the log in seconds.
+    /// Duration of each sync of the log in seconds.
     pub sync_seconds: Histogram,
     /// Routers that follow this replica.
     pub routers: IntGauge,
@@ -36,17 +36,26 @@
 }
 
 impl ControlMetrics {
-    /// Registers every metric of a control replica.
+    /// Registers all metrics of a control replica.
+    ///
+    /// # Errors
+    /// A name is already registered.
     pub fn register(metrics: &Metrics) -> Result<Self, MetricsError> {
         Ok(Self {
             term: metrics.gauge("control_term", "Current term")?,
-            is_leader: metrics.gauge("control_is_leader", "1 while this replica leads")?,
+            is_leader: metrics.gauge(
+                "control_is_leader",
+                "1 while this replica is the leader, else 0",
+            )?,
             commit_index: metrics.gauge("control_commit_index", "Highest committed log index")?,
             applied_index: metrics.gauge("control_applied_index", "Highest applied log index")?,
             bundle_version: metrics
                 .gauge("control_bundle_version", "Version of the bundle in force")?,
             unowned_shards: metrics.gauge("control_unowned_shards", "Shards without an owner")?,
-            moving_shards: metrics.gauge("control_moving_shards", "Shards being handed over")?,
+            moving_shards: metrics.gauge(
+                "control_moving_shards",
+                "Shards being moved to another server",
+            )?,
             elections_won: metrics.counter("control_elections_won_total", "Elections won")?,
             proposals: metrics.counter("control_proposals_total", "Entries proposed")?,
             back_end_requests: metrics.counters(
@@ -56,7 +65,7 @@
             )?,
             sync_seconds: metrics.histogram(
                 "control_sync_seconds",
-                "Time of each sync of the log",
+                "Duration of each sync of the log",
                 SYNC_SECONDS_BUCKETS,
             )?,
             routers: metrics.gauge("control_routers", "Routers that follow this replica")?,
--- a/crates/telemetry/src/metrics/directory.rs
+++ b/crates/telemetry/src/metrics/directory.rs
@@ -6,46 +6,46 @@
 
 use super::{Metrics, MetricsError, REQUEST_SECONDS_BUCKETS};
 
-/// What a directory replica counts.
+/// Metrics that a directory replica records.
 #[derive(Clone, Debug)]
 pub struct DirectoryMetrics {
     calls: IntCounterVec,
     bad_calls: IntCounterVec,
     permits: IntCounterVec,
-    /// Requests that are quarantined.
+    /// Number of quarantined requests.
     pub quarantined: IntGauge,
-    /// Time from a call's arrival to its answer.
+    /// Time from the arrival of a call to its response in seconds.
     pub call_seconds: Histogram,
     shards_moved: IntCounterVec,
     /// Consensus term.
     pub term: IntGauge,
-    /// 1 while this replica leads and is sure of it, else 0.
+    /// 1 while this replica leads and holds the leader lease, else 0.
     pub leads: IntGauge,
-    /// Log index that is applied here.
+    /// Highest applied log index.
     pub applied_index: IntGauge,
-    /// Entries that are in the log and not applied.
+    /// Log entries that are not applied yet.
     pub unapplied_entries: IntGauge,
     /// Gateways that follow this replica.
     pub followers: IntGauge,
-    /// 1 while what this replica gives on to gateways is fresh, else 0.
+    /// 1 while the applied state is fresh enough to be sent to gateways, else 0.
     pub is_fed: IntGauge,
-    /// Servers known that have not ended.
+    /// Known servers that have not ended.
     pub instances: IntGauge,
-    /// Zones that are evacuated.
+    /// Zones under evacuation.
     pub evacuated_zones: IntGauge,
     /// Members of the group, voters and learners.
     pub members: IntGauge,
     /// Voters of the group.
     pub voters: IntGauge,
-    /// Voters that the losses to be borne need.
+    /// Voters that the configured fault tolerance requires.
     pub wanted_voters: IntGauge,
 }
 
 impl DirectoryMetrics {
-    /// Registers every metric of a directory replica.
+    /// Registers all metrics of a directory replica.
     ///
     /// # Errors
-    /// A name is taken.
+    /// A name is already registered.
     pub fn register(metrics: &Metrics) -> Result<Self, MetricsError> {
         Ok(Self {
             calls: metrics.counters("directory_calls_total", "Calls by outcome", &["outcome"])?,
@@ -61,11 +61,11 @@
             )?,
             quarantined: metrics.gauge(
                 "directory_quarantined_requests",
-                "Requests that are kept from all servers since they crash them",
+                "Requests that are quarantined because they crash servers",
             )?,
             call_seconds: metrics.histogram(
                 "directory_call_seconds",
-                "Time from a call's arrival to its answer",
+                "Time from the arrival of a call to its response",
                 REQUEST_SECONDS_BUCKETS,
             )?,
             shards_moved: metrics.counters(
@@ -74,46 +74,50 @@
                 &["service", "change"],
             )?,
             term: metrics.gauge("directory_term", "Consensus term")?,
-            leads: metrics.gauge("directory_leads", "1 while this replica leads")?,
-            applied_index: metrics.gauge("directory_applied_index", "Log index applied here")?,
+            leads: metrics.gauge(
+                "directory_leads",
+                "1 while this replica leads and holds the leader lease, else 0",
+            )?,
+            applied_index: metrics.gauge("directory_applied_index", "Highest applied log index")?,
             unapplied_entries: metrics.gauge(
                 "directory_unapplied_entries",
-                "Entries in the log that are not applied",
+                "Log entries that are not applied yet",
             )?,
-            followers: metrics.gauge("directory_followers", "Gateways that follow")?,
+            followers: metrics.gauge("directory_followers", "Gateways that follow this replica")?,
             is_fed: metrics.gauge(
                 "directory_is_fed",
-                "1 while what this replica gives on to gateways is fresh",
+                "1 while the applied state is fresh enough to be sent to gateways, else 0",
             )?,
-            instances: metrics.gauge("directory_instances", "Servers that have not ended")?,
+            instances: metrics.gauge("directory_instances", "Known servers that have not ended")?,
             evacuated_zones: metrics
-                .gauge("directory_evacuated_zones", "Zones that are evacuated")?,
+                .gauge("directory_evacuated_zones", "Zones under evacuation")?,
             members: metrics.gauge("directory_members", "Members of the group")?,
             voters: metrics.gauge("directory_voters", "Voters of the group")?,
             wanted_voters: metrics.gauge(
                 "directory_wanted_voters",
-                "Voters that the losses to be borne need",
+                "Voters that the configured fault tolerance requires",
             )?,
         })
     }
 
-    /// A call was answered.
+    /// Counts an answered call and records its duration.
     pub fn note_call(&self, outcome: &str, took: Duration) {
         self.calls.with_label_values(&[outcome]).inc();
         self.call_seconds.observe(took.as_secs_f64());
     }
 
-    /// A call could not be read.
+    /// Counts a call that could not be read.
     pub fn note_bad_call(&self, cause: &str) {
         self.bad_calls.with_label_values(&[cause]).inc();
     }
 
-    /// A gateway's request for a permit was answered: `given`, `refused` or, by a replica that reaches no leader, `unknown`.
+    /// Counts the answer to a gateway's permit request: `given`, `refused`, or `unknown` if this replica
+    /// reaches no leader.
     pub fn note_permit(&self, answer: &str) {
         self.permits.with_label_values(&[answer]).inc();
     }
 
-    /// Shards were assigned or freed.
+    /// Counts shards that were assigned to a server or freed.
     pub fn note_shards(&self, service: &str, assigned: bool, count: usize) {
         let change = match assigned {
             true => "assigned",
--- a/crates/telemetry/src/structured.rs
+++ b/crates/telemetry/src/structured.rs
@@ -1,7 +1,7 @@
-//! Structured log lines on standard output, which never hold up the thread that logs.
+//! Structured log lines on standard output, written without blocking the logging thread.
 //!
-//! Invariant: a line waits in a bounded queue for one writer thread; when the queue is full the line
-//! is dropped and counted, and the count is logged as soon as there is room.
+//! Invariant: lines pass through a bounded queue to one writer thread. A line that finds the queue full is
+//! dropped and counted, and the count is logged with the next batch that is written.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -15,28 +15,27 @@
 
 use crate::Event;
 
-/// Lines that may wait for the writer.
-const WAITING_LINES: usize = 2_048;
+/// Capacity of the queue to the writer thread, and maximum number of further items written in one batch.
+const QUEUE_CAPACITY: usize = 2_048;
 
 /// Stack of the writer thread in bytes.
 const WRITER_STACK_BYTES: usize = 64 << 10;
 
-/// Longest wait for lines to be written at the end of the process.
-const FLUSH_LIMIT: Duration = Duration::from_millis(300);
+/// Maximum time that a flush, such as the one before the process ends, waits for queued lines.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What waits for the writer.
-enum Waiting {
-    /// A line to write.
+/// An item in the queue to the writer thread.
+enum QueueItem {
     Line(String),
-    /// Somebody who waits until everything before is written.
+    /// Signalled once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// Logger that hands lines to the writer thread.
+/// Logger that queues lines for the writer thread.
 struct StructuredLogger {
     level: LevelFilter,
     started: Instant,
-    lines: SyncSender<Waiting>,
+    lines: SyncSender<QueueItem>,
     dropped: Arc<AtomicU64>,
 }
 
@@ -49,42 +48,44 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let line = self.line(record);
-        if let Err(TrySendError::Full(_)) = self.lines.try_send(Waiting::Line(line)) {
+        let line = self.format_line(record);
+        if let Err(TrySendError::Full(_)) = self.lines.try_send(QueueItem::Line(line)) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Waits a bounded time until the lines so far are written, as before the process ends.
+    /// Waits for the lines queued so far to be written, at most for [`FLUSH_TIMEOUT`]. If the queue is full,
+    /// it returns at once.
     fn flush(&self) {
         let (done, written) = sync_channel(1);
-        if self.lines.try_send(Waiting::Flush(done)).is_ok() {
-            let _ = written.recv_timeout(FLUSH_LIMIT);
+        if self.lines.try_send(QueueItem::Flush(done)).is_ok() {
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
 impl StructuredLogger {
-    fn line(&self, record: &Record<'_>) -> String {
+    fn format_line(&self, record: &Record<'_>) -> String {
         let seconds = self.started.elapsed().as_secs_f64();
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let at = now.unwrap_or_default().as_secs_f64();
         let mut line = format!("at={at:.3} t={seconds:.3} level={}", record.level());
-        let _ = record.key_values().visit(&mut Pairs(&mut line));
+        let _ = record.key_values().visit(&mut KeyValueWriter(&mut line));
         let _ = write!(line, " text={:?}", record.args().to_string());
         line.push('\n');
         line
     }
 }
 
-/// Writes key and value pairs; a value with blanks or quotes is quoted.
-struct Pairs<'a>(&'a mut String);
+/// Appends ` key=value` for each pair. A value that is empty or contains a space, tab, line feed,
+/// double quote, `=` or backslash is quoted.
+struct KeyValueWriter<'a>(&'a mut String);
 
-impl<'kvs> VisitSource<'kvs> for Pairs<'_> {
+impl<'kvs> VisitSource<'kvs> for KeyValueWriter<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let text = value.to_string();
-        let is_plain = !text.is_empty() && !text.contains([' ', '"', '=', '\n', '\t', '\\']);
-        let _ = match is_plain {
+        let needs_no_quotes = !text.is_empty() && !text.contains([' ', '"', '=', '\n', '\t', '\\']);
+        let _ = match needs_no_quotes {
             true => write!(self.0, " {key}={text}"),
             false => write!(self.0, " {key}={text:?}"),
         };
@@ -92,9 +93,10 @@
     }
 }
 
-/// Starts logging structured lines to standard output. A second call changes nothing.
+/// Starts logging structured lines to standard output. If a logger is already installed, the call has no
+/// effect.
 pub fn start_structured_logging(level: LevelFilter) {
-    let (lines, waiting) = sync_channel(WAITING_LINES);
+    let (lines, queue) = sync_channel(QUEUE_CAPACITY);
     let dropped = Arc::new(AtomicU64::new(0));
     let logger = StructuredLogger {
         level,
@@ -109,22 +111,22 @@
     let _ = std::thread::Builder::new()
         .name("log-writer".to_owned())
         .stack_size(WRITER_STACK_BYTES)
-        .spawn(move || write_lines(&waiting, &dropped));
+        .spawn(move || write_lines(&queue, &dropped));
 }
 
-fn write_lines(waiting: &Receiver<Waiting>, dropped: &AtomicU64) {
+fn write_lines(queue: &Receiver<QueueItem>, dropped: &AtomicU64) {
     let mut output = std::io::stdout();
-    while let Ok(first) = waiting.recv() {
+    while let Ok(first) = queue.recv() {
         let mut batch = String::new();
         let mut flushes = Vec::new();
-        let rest = waiting.try_iter().take(WAITING_LINES);
-        for one in std::iter::once(first).chain(rest) {
-            match one {
-                Waiting::Line(line) => batch.push_str(&line),
-                Waiting::Flush(done) => flushes.push(done),
+        let rest = queue.try_iter().take(QUEUE_CAPACITY);
+        for item in std::iter::once(first).chain(rest) {
+            match item {
+                QueueItem::Line(line) => batch.push_str(&line),
+                QueueItem::Flush(done) => flushes.push(done),
             }
         }
-        note_dropped(&mut batch, dropped);
+        append_dropped_count(&mut batch, dropped);
         let _ = output.write_all(batch.as_bytes());
         let _ = output.flush();
         for done in flushes {
@@ -133,7 +135,7 @@
     }
 }
 
-fn note_dropped(batch: &mut String, dropped: &AtomicU64) {
+fn append_dropped_count(batch: &mut String, dropped: &AtomicU64) {
     let lost = dropped.swap(0, Ordering::Relaxed);
     if lost == 0 {
         return;
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue in the code and the one in `docs/EVENTS.md` are the same.
+//! The catalogue of events in the code matches the table in `docs/EVENTS.md`.
 
 use std::collections::BTreeSet;
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn numbers_stand_once_and_in_their_range() {
+fn numbers_are_unique_and_in_range() {
     let numbers: BTreeSet<_> = Event::ALL.iter().map(|event| event.number()).collect();
     assert_eq!(numbers.len(), Event::ALL.len());
     assert!(numbers.iter().all(|number| (100..500).contains(number)));
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics register once and render in Prometheus' text form.
+//! Metrics are registered once and rendered in the Prometheus text format.
 
 use grebepin_telemetry::{ControlMetrics, Metrics, MetricsError, RouterMetrics};
 
 #[test]
-fn both_daemons_metrics_render_with_their_values() {
+fn metrics_of_control_and_router_render_with_their_values() {
     let metrics = Metrics::new();
     let control = ControlMetrics::register(&metrics).expect("registers");
     let router = RouterMetrics::register(&metrics).expect("registers");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_name_registers_once() {
+fn a_name_can_be_registered_only_once() {
     let metrics = Metrics::new();
     metrics
         .counter("requests_total", "Requests")
