--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -345,7 +345,7 @@
 
     fn update_gauges(&self, now: Duration) {
         let metrics = &self.metrics;
-        metrics.flights.set(self.in_flight.len() as i64);
+        metrics.requests_in_flight.set(self.in_flight.len() as i64);
         metrics.client_connections.set(self.clients.len() as i64);
         metrics.server_connections.set(self.upstreams.len() as i64);
         metrics.applied_index.set(self.table.applied() as i64);
--- a/crates/gateway/src/forwarding.rs
+++ b/crates/gateway/src/forwarding.rs
@@ -190,7 +190,7 @@
             true => Ok(()),
             false => {
                 self.metrics
-                    .note_turned_away(service, Refusal::LinkFull.reason());
+                    .note_rejected(service, Refusal::LinkFull.reason());
                 Err(Refusal::LinkFull)
             }
         }
--- a/crates/telemetry/src/metrics/gateway.rs
+++ b/crates/telemetry/src/metrics/gateway.rs
@@ -15,7 +15,7 @@
     retries: IntCounterVec,
     suspected: IntCounterVec,
     /// Requests in flight.
-    pub flights: IntGauge,
+    pub requests_in_flight: IntGauge,
     /// Open connections of clients.
     pub client_connections: IntGauge,
     /// Open connections to servers.
@@ -77,7 +77,7 @@
                 "Times that a server was temporarily excluded",
                 &["reason"],
             )?,
-            flights: metrics.gauge("gateway_requests_under_way", "Requests in flight")?,
+            requests_in_flight: metrics.gauge("gateway_requests_under_way", "Requests in flight")?,
             client_connections: metrics
                 .gauge("gateway_client_connections", "Open connections of clients")?,
             server_connections: metrics
@@ -141,7 +141,7 @@
     }
 
     /// Counts a request that was rejected with status 503 before admission.
-    pub fn note_turned_away(&self, service: &str, reason: &str) {
+    pub fn note_rejected(&self, service: &str, reason: &str) {
         self.outcomes
             .with_label_values(&[service, "503", reason])
             .inc();
