--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -14,45 +14,45 @@
 
 pub use timing::ControlTiming;
 
-/// Most other replicas that a settings file may name.
+/// Maximum number of other replicas in a settings file.
 const MAXIMUM_PEERS: usize = 14;
 
-/// Checked settings of one control replica.
+/// Validated settings of one control replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// File the settings came from.
+    /// Settings file, named in errors.
     pub path: PathBuf,
-    /// Zone this replica stands in.
+    /// Zone in which this replica runs.
     pub zone: ZoneName,
     /// Folder for the log, snapshots and identity.
     pub data_dir: PathBuf,
-    /// Listens for other replicas.
+    /// Address on which connections of other replicas are accepted.
     pub peer_address: SocketAddr,
-    /// Listens for routers and relays.
+    /// Address on which connections of routers and relays are accepted.
     pub router_address: SocketAddr,
-    /// Listens for operators, metrics and probes.
+    /// Address on which requests of operators, for metrics and for probes are accepted.
     pub admin_address: SocketAddr,
     /// Peer addresses of the group's other replicas.
     pub peers: Vec<SocketAddr>,
-    /// Operators whose signatures count.
+    /// Operators whose signatures are accepted.
     pub operators: Vec<TrustedOperator>,
-    /// Sign-offs a bundle needs.
+    /// Number of sign-offs that a bundle needs.
     pub required_signatures: u32,
-    /// Group of this replica.
+    /// Control group of this replica.
     pub group: GroupId,
-    /// Where the platform's list of machines is asked.
+    /// Address from which the platform's list of machines is read; `None` if there is no list.
     pub platform_address: Option<SocketAddr>,
-    /// Times of the group; equal on all its replicas.
+    /// Timing of the group; must be equal on all its replicas.
     pub timing: ControlTiming,
 }
 
-/// Loads a settings file of `grebepin-control`, fills in defaults and checks every field.
+/// Loads a settings file of `grebepin-control`, fills in default values and checks all fields.
 pub fn load_control(path: impl AsRef<Path>) -> Result<ControlSettings, SettingsError> {
     let path = path.as_ref();
     parse_control(path, &file::read(path)?)
 }
 
-/// Like [`load_control`] for a text already read; `path` only names it in errors.
+/// Like [`load_control`], for a text that is already read; `path` is only used in errors.
 pub fn parse_control(path: &Path, text: &str) -> Result<ControlSettings, SettingsError> {
     let raw: schema::ControlSettings = file::parse(path, text)?;
     let mut problems = Problems::default();
@@ -62,8 +62,8 @@
 }
 
 impl ControlSettings {
-    /// Checks the settings against this machine: listens on each address for a moment, and makes
-    /// and writes the data folder. Run it before the daemon opens either.
+    /// Checks the settings against this machine: binds and releases each listening address, creates the data
+    /// folder and writes to it. Must run before the daemon opens either.
     pub fn check_host(&self) -> Result<(), SettingsError> {
         let mut problems = Problems::default();
         for (field, address) in self.listen_addresses() {
@@ -91,15 +91,15 @@
     let platform_address = raw
         .platform_address
         .as_ref()
-        .map(|address| problems.reachable("platform_address", address));
+        .map(|address| problems.parse_reachable_address("platform_address", address));
     let settings = ControlSettings {
         path: path.to_owned(),
         zone: raw.zone,
         data_dir: PathBuf::from(raw.data_dir),
-        peer_address: problems.reachable("peer_address", &raw.peer_address),
-        router_address: problems.reachable("router_address", &raw.router_address),
-        admin_address: problems.reachable("admin_address", &raw.admin_address),
-        peers: problems.others("peers", &raw.peers),
+        peer_address: problems.parse_reachable_address("peer_address", &raw.peer_address),
+        router_address: problems.parse_reachable_address("router_address", &raw.router_address),
+        admin_address: problems.parse_reachable_address("admin_address", &raw.admin_address),
+        peers: problems.parse_peer_addresses("peers", &raw.peers),
         operators: raw.operators,
         required_signatures: required,
         group: GroupId(raw.group),
@@ -124,5 +124,5 @@
         problems.push("peers", ProblemKind::Duplicate { value });
     }
     let peers = settings.peers.len() as u64;
-    problems.range("peers", peers, 0, MAXIMUM_PEERS as u64);
+    problems.check_range("peers", peers, 0, MAXIMUM_PEERS as u64);
 }
--- a/crates/settings/src/control/operators.rs
+++ b/crates/settings/src/control/operators.rs
@@ -1,4 +1,4 @@
-//! Operators whose signatures count.
+//! Checks of the trusted operators and of the number of sign-offs.
 
 use ed25519_dalek::VerifyingKey;
 use grebepin_schema::TrustedOperator;
@@ -8,15 +8,16 @@
 
 const MAXIMUM_SIGNATURES: u64 = 100;
 
-/// Notes names or keys that stand twice, keys that are none, and sign-offs that can't be had.
+/// Reports duplicate names and keys, invalid public keys, and a number of required sign-offs that is out of
+/// range or greater than the number of operators.
 pub(super) fn check(operators: &[TrustedOperator], required: u32, problems: &mut Problems) {
     let names: Vec<_> = operators.iter().map(|one| one.name.as_str()).collect();
     let keys: Vec<_> = operators
         .iter()
         .map(|one| one.public_key.as_str())
         .collect();
-    problems.distinct("operators.name", &names);
-    problems.distinct("operators.public_key", &keys);
+    problems.check_distinct("operators.name", &names);
+    problems.check_distinct("operators.public_key", &keys);
     for operator in operators {
         if !is_public_key(&operator.public_key) {
             let field = format!("operators[{}].public_key", operator.name.as_str());
@@ -24,7 +25,7 @@
         }
     }
     let field = "required_signatures";
-    problems.range(field, required.into(), 1, MAXIMUM_SIGNATURES);
+    problems.check_range(field, required.into(), 1, MAXIMUM_SIGNATURES);
     if required as usize > operators.len() {
         let operators = operators.len();
         let kind = ProblemKind::TooFewOperators {
--- a/crates/settings/src/control/timing.rs
+++ b/crates/settings/src/control/timing.rs
@@ -1,4 +1,4 @@
-//! Times of a control group and the relations that must hold among them.
+//! Timing of a control group and the relations that must hold between its values.
 
 use std::time::Duration;
 
@@ -6,48 +6,49 @@
 
 use crate::problems::Problems;
 
-/// Rounds of a leader that fit into the least election timeout, so that one lost message elects
-/// nobody.
-const ROUNDS_PER_ELECTION_TIMEOUT: u64 = 3;
+/// Minimum number of leader heartbeats per election timeout, so that one lost message does not start an
+/// election.
+const HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 3;
 
-/// Heartbeats that fit into a server's lease, so that two lost ones cost no lease.
+/// Minimum number of heartbeats per server lease, so that no lease ends because two heartbeats are lost.
 const HEARTBEATS_PER_LEASE: u64 = 3;
 
-/// Election timeouts that fit into a server's lease, so that a change of leader costs no lease.
+/// Minimum number of election timeouts per server lease, so that no lease ends during a change of leader.
 const ELECTION_TIMEOUTS_PER_LEASE: u64 = 2;
 
-/// Times of a control group; equal on all its replicas.
+/// Timing of a control group; must be equal on all its replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlTiming {
-    /// Step of all timers.
+    /// Resolution of all timers.
     pub tick: Duration,
-    /// Between a leader's rounds.
+    /// Interval between the heartbeats of a leader to its followers.
     pub replica_heartbeat: Duration,
-    /// Least silence before a pre-vote; up to half as much again at random. Also the leader lease.
+    /// Minimum time without a message from the leader before a pre-vote; extended at random by up to half. Also
+    /// the duration of the leader lease.
     pub election_timeout: Duration,
-    /// Between heartbeats to a server.
+    /// Interval between heartbeats to a server.
     pub server_heartbeat: Duration,
-    /// Lease of a server.
+    /// Duration of the lease of a server.
     pub server_lease: Duration,
-    /// Most by which two clocks' rates differ, in percent.
+    /// Maximum difference between the rates of two clocks in percent.
     pub drift_percent: u32,
-    /// Entries between two snapshots.
+    /// Number of log entries between two snapshots.
     pub snapshot_every_entries: u64,
-    /// Between two looks at the platform's list.
+    /// Interval between reads of the platform's list of machines.
     pub platform_poll: Duration,
 }
 
 impl Default for ControlTiming {
     fn default() -> Self {
-        typed(&schema::ControlTiming::default())
+        to_timing(&schema::ControlTiming::default())
     }
 }
 
-/// Checks limits and relations.
+/// Checks the limit of each value and the relations between them.
 pub(super) fn check(raw: schema::ControlTiming, problems: &mut Problems) -> ControlTiming {
     check_limits(&raw, problems);
     check_relations(&raw, problems);
-    typed(&raw)
+    to_timing(&raw)
 }
 
 fn check_limits(raw: &schema::ControlTiming, problems: &mut Problems) {
@@ -87,25 +88,29 @@
         ),
     ];
     for (field, value, minimum, maximum) in limits {
-        problems.range(field, value, minimum, maximum);
+        problems.check_range(field, value, minimum, maximum);
     }
 }
 
 fn check_relations(raw: &schema::ControlTiming, problems: &mut Problems) {
     let tick = ("tick_ms", raw.tick_ms.get());
-    let round = ("replica_heartbeat_ms", raw.replica_heartbeat_ms);
+    let replica_heartbeat = ("replica_heartbeat_ms", raw.replica_heartbeat_ms);
     let election_timeout = ("election_timeout_ms", raw.election_timeout_ms);
-    let heartbeat = ("server_heartbeat_ms", raw.server_heartbeat_ms);
+    let server_heartbeat = ("server_heartbeat_ms", raw.server_heartbeat_ms);
     let lease = ("timing.server_lease_ms", raw.server_lease_ms);
-    problems.at_least(("timing.replica_heartbeat_ms", round.1), 1, tick);
-    problems.at_least(("timing.server_heartbeat_ms", heartbeat.1), 1, tick);
+    problems.check_at_least(
+        ("timing.replica_heartbeat_ms", replica_heartbeat.1),
+        1,
+        tick,
+    );
+    problems.check_at_least(("timing.server_heartbeat_ms", server_heartbeat.1), 1, tick);
     let field = ("timing.election_timeout_ms", election_timeout.1);
-    problems.at_least(field, ROUNDS_PER_ELECTION_TIMEOUT, round);
-    problems.at_least(lease, HEARTBEATS_PER_LEASE, heartbeat);
-    problems.at_least(lease, ELECTION_TIMEOUTS_PER_LEASE, election_timeout);
+    problems.check_at_least(field, HEARTBEATS_PER_ELECTION_TIMEOUT, replica_heartbeat);
+    problems.check_at_least(lease, HEARTBEATS_PER_LEASE, server_heartbeat);
+    problems.check_at_least(lease, ELECTION_TIMEOUTS_PER_LEASE, election_timeout);
 }
 
-fn typed(raw: &schema::ControlTiming) -> ControlTiming {
+fn to_timing(raw: &schema::ControlTiming) -> ControlTiming {
     ControlTiming {
         tick: Duration::from_millis(raw.tick_ms.get()),
         replica_heartbeat: Duration::from_millis(raw.replica_heartbeat_ms),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,49 +1,49 @@
-//! What is wrong with a settings file.
+//! Errors of settings files.
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Exit code of a daemon whose settings are refused.
+/// Exit code of a daemon whose settings file is invalid.
 pub const SETTINGS_EXIT_CODE: i32 = 2;
 
-/// Why settings are refused.
+/// A settings file is invalid or can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("settings file {} can't be read: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no TOML, or a field is unknown, missing or of the wrong type.
+    /// The file is too large or is not valid TOML, or a field is unknown, missing or of the wrong type.
     #[error("settings file {}{}: {message}", path.display(), describe_field(field))]
     Malformed {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Path of the field, where one is known.
+        /// Path of the field, if it is known.
         field: Option<String>,
-        /// What is wrong there, with the line.
+        /// Description of the error, with the line number if it is known.
         message: String,
     },
-    /// Fields have values that don't work.
+    /// Fields have invalid values.
     #[error("settings file {}:{}", path.display(), describe_problems(problems))]
     Invalid {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Each field that is wrong.
+        /// All invalid fields.
         problems: Vec<Problem>,
     },
 }
 
-/// One field with a value that doesn't work.
+/// One field with an invalid value.
 #[derive(Debug)]
 pub struct Problem {
     /// Path of the field, such as `timing.election_timeout_ms`.
     pub field: String,
-    /// What is wrong with its value.
+    /// Reason why its value is invalid.
     pub kind: ProblemKind,
 }
 
@@ -53,77 +53,77 @@
     }
 }
 
-/// What is wrong with a field's value.
+/// Reason why the value of a field is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ProblemKind {
     /// The value is outside its limits.
     #[error("{value} is outside {minimum} to {maximum}")]
     OutOfRange {
-        /// Value found.
+        /// Value in the file.
         value: u64,
-        /// Least value allowed.
+        /// Minimum value allowed.
         minimum: u64,
-        /// Greatest value allowed.
+        /// Maximum value allowed.
         maximum: u64,
     },
-    /// The text is no IP number with a port.
-    #[error("{value} is not an IP number and port")]
+    /// The text is not an IP address with a port.
+    #[error("{value} is not an IP address and port")]
     NotAnAddress {
-        /// Text found.
+        /// Text in the file.
         value: String,
     },
-    /// Other processes can't reach the address, though they are told to.
-    #[error("{address} can't be reached by others; name this machine's IP number and a port")]
+    /// Other processes need the address but can't reach it: it is unspecified or multicast, or its port is 0.
+    #[error("{address} can't be reached by other processes; use an IP address of this machine and a port")]
     Unreachable {
-        /// Address found.
+        /// Address in the file.
         address: SocketAddr,
     },
-    /// The value stands twice.
+    /// The value occurs more than once.
     #[error("{value} stands twice")]
     Duplicate {
-        /// Value found.
+        /// Value in the file.
         value: String,
     },
     /// The list or text is empty.
     #[error("may not be empty")]
     Empty,
-    /// The public key is no point of the curve.
+    /// The text is not a public key: it does not decode to a point of the curve, or the point is weak.
     #[error("is not an ed25519 public key; `grebepin key public` prints one")]
     InvalidPublicKey,
-    /// More sign-offs are required than there are operators.
+    /// The number of required sign-offs exceeds the number of operators.
     #[error("{required} sign-offs can't be had from {operators} operators")]
     TooFewOperators {
-        /// Sign-offs required.
+        /// Number of sign-offs required.
         required: u32,
-        /// Operators trusted.
+        /// Number of trusted operators.
         operators: usize,
     },
-    /// The value is too small next to another field.
+    /// The value is too small in relation to another field.
     #[error("{value} must be at least {factor} times {other} ({other_value})")]
     TooSmallFor {
-        /// Value found.
+        /// Value in the file.
         value: u64,
-        /// How many times greater it must be.
+        /// Minimum ratio of the value to the other one.
         factor: u64,
-        /// The other field.
+        /// Name of the other field.
         other: &'static str,
-        /// Its value.
+        /// Value of the other field.
         other_value: u64,
     },
-    /// The address can't be listened on.
+    /// The address can't be bound.
     #[error("can't listen on {address}: {source}")]
     PortUnavailable {
-        /// Address found.
+        /// Address in the file.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The folder can't be made, written or synced.
+    /// The folder can't be created, written to or synced.
     #[error("folder {} can't be written: {source}", path.display())]
     FolderUnwritable {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/settings/src/file.rs
+++ b/crates/settings/src/file.rs
@@ -1,4 +1,4 @@
-//! Reading TOML into the schema's settings, naming the field that is wrong.
+//! Reads TOML into the settings types of the schema; errors name the invalid field.
 
 use std::path::Path;
 
@@ -6,11 +6,11 @@
 
 use crate::error::SettingsError;
 
-/// Largest settings file in bytes.
+/// Maximum size of a settings file in bytes.
 const MAXIMUM_SETTINGS_BYTES: u64 = 1 << 20;
 
-/// Units that a field's name may end in; times are whole numbers of milliseconds.
-const TIME_UNIT: &str = "_ms";
+/// Suffix of the names of fields that hold a time; their values are whole numbers of milliseconds.
+const TIME_SUFFIX: &str = "_ms";
 
 pub(crate) fn read(path: &Path) -> Result<String, SettingsError> {
     let unreadable = |source| SettingsError::Unreadable {
@@ -47,7 +47,9 @@
 }
 
 fn hint(field: &Option<String>, message: &str) -> &'static str {
-    let is_time = field.as_ref().is_some_and(|name| name.ends_with(TIME_UNIT));
+    let is_time = field
+        .as_ref()
+        .is_some_and(|name| name.ends_with(TIME_SUFFIX));
     if is_time && message.contains("invalid type") {
         return "; write a whole number of milliseconds without a unit";
     }
--- a/crates/settings/src/host.rs
+++ b/crates/settings/src/host.rs
@@ -1,4 +1,4 @@
-//! Checks against this machine: addresses that can be listened on, folders that can be written.
+//! Checks against this machine: whether addresses can be bound and folders can be written to.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::Write;
@@ -10,14 +10,15 @@
 
 const PROBE_FILE: &str = ".settings-check";
 
-/// Listens for a moment, so that a port in use or another machine's address is found at start.
+/// Binds and releases the address, so that a port in use or the address of another machine is detected at
+/// startup.
 pub(crate) fn check_listen(field: &str, address: SocketAddr, problems: &mut Problems) {
     if let Err(source) = TcpListener::bind(address) {
         problems.push(field, ProblemKind::PortUnavailable { address, source });
     }
 }
 
-/// Makes the folder where needed, and writes, syncs and removes a file in it.
+/// Creates the folder if it is missing, and writes, syncs and removes a file in it.
 pub(crate) fn check_folder(field: &str, path: &Path, problems: &mut Problems) {
     if let Err(source) = probe_folder(path) {
         let path = path.to_owned();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings files of the daemons: loading, defaults, and the whole check at start.
+//! Settings files of the daemons: loading, default values and all checks made at startup.
 //!
-//! Invariant: settings that were loaded are typed, complete and consistent; a daemon that starts with
-//! them never meets a settings error later. Every problem of a file is reported, not just the first.
+//! Invariant: loaded settings are typed, complete and consistent, so that a daemon started with them reports
+//! no settings error later. All invalid values of a file are reported together, not just the first.
 
 mod control;
 mod error;
--- a/crates/settings/src/problems.rs
+++ b/crates/settings/src/problems.rs
@@ -1,4 +1,4 @@
-//! Collects the problems of one file.
+//! Collects the invalid values of one settings file.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,11 +8,12 @@
 
 use crate::error::{Problem, ProblemKind, SettingsError};
 
-/// Stands for an address that does not parse; its problem is noted, so it is never used.
-const NO_ADDRESS: SocketAddr =
+/// Placeholder for an address that does not parse. It is never used, because the reported problem makes the
+/// whole file invalid.
+const PLACEHOLDER_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-/// Problems found so far.
+/// Invalid values found so far.
 #[derive(Debug, Default)]
 pub(crate) struct Problems(Vec<Problem>);
 
@@ -22,7 +23,8 @@
         self.0.push(Problem { field, kind });
     }
 
-    pub(crate) fn range(&mut self, field: &str, value: u64, minimum: u64, maximum: u64) {
+    /// Reports a value that is less than `minimum` or greater than `maximum`.
+    pub(crate) fn check_range(&mut self, field: &str, value: u64, minimum: u64, maximum: u64) {
         if value < minimum || value > maximum {
             let kind = ProblemKind::OutOfRange {
                 value,
@@ -33,8 +35,8 @@
         }
     }
 
-    /// Notes a value that must be at least `factor` times that of another field.
-    pub(crate) fn at_least(
+    /// Reports a value that is less than `factor` times the value of another field.
+    pub(crate) fn check_at_least(
         &mut self,
         (field, value): (&str, u64),
         factor: u64,
@@ -51,19 +53,24 @@
         }
     }
 
-    /// An address that this process listens on.
-    pub(crate) fn address(&mut self, field: &str, address: &SocketAddress) -> SocketAddr {
+    /// Parses an address on which this process listens, and reports a text that is not one.
+    pub(crate) fn parse_address(&mut self, field: &str, address: &SocketAddress) -> SocketAddr {
         address.parse().unwrap_or_else(|_| {
             let value = address.to_string();
             self.push(field, ProblemKind::NotAnAddress { value });
-            NO_ADDRESS
+            PLACEHOLDER_ADDRESS
         })
     }
 
-    /// An address that other processes are told.
-    pub(crate) fn reachable(&mut self, field: &str, address: &SocketAddress) -> SocketAddr {
+    /// Parses an address that other processes use, and reports one that they can't reach: an unspecified or
+    /// multicast IP address, or port 0.
+    pub(crate) fn parse_reachable_address(
+        &mut self,
+        field: &str,
+        address: &SocketAddress,
+    ) -> SocketAddr {
         let before = self.0.len();
-        let address = self.address(field, address);
+        let address = self.parse_address(field, address);
         let ip = address.ip();
         let is_reachable = address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast();
         if self.0.len() == before && !is_reachable {
@@ -72,18 +79,23 @@
         address
     }
 
-    /// Addresses of other processes, each once.
-    pub(crate) fn others(&mut self, field: &str, addresses: &[SocketAddress]) -> Vec<SocketAddr> {
+    /// Parses the addresses of other processes, and reports those that occur more than once.
+    pub(crate) fn parse_peer_addresses(
+        &mut self,
+        field: &str,
+        addresses: &[SocketAddress],
+    ) -> Vec<SocketAddr> {
         let mut parsed = Vec::new();
         for (position, address) in addresses.iter().enumerate() {
             let field = format!("{field}[{position}]");
-            parsed.push(self.reachable(&field, address));
+            parsed.push(self.parse_reachable_address(&field, address));
         }
-        self.distinct(field, &parsed);
+        self.check_distinct(field, &parsed);
         parsed
     }
 
-    pub(crate) fn distinct<T: Ord + ToString>(&mut self, field: &str, values: &[T]) {
+    /// Reports each repetition of a value.
+    pub(crate) fn check_distinct<T: Ord + ToString>(&mut self, field: &str, values: &[T]) {
         let mut seen = BTreeSet::new();
         for value in values {
             if !seen.insert(value) {
@@ -93,6 +105,7 @@
         }
     }
 
+    /// Returns an error if any problem was reported.
     pub(crate) fn into_result(self, path: &Path) -> Result<(), SettingsError> {
         if self.0.is_empty() {
             return Ok(());
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -10,61 +10,61 @@
 use crate::problems::Problems;
 use crate::{file, host};
 
-/// Checked settings of one router.
+/// Validated settings of one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// File the settings came from.
+    /// Settings file, named in errors.
     pub path: PathBuf,
     /// Name of this router, unique in the deployment.
     pub name: RouterName,
-    /// Zone this router stands in.
+    /// Zone in which this router runs.
     pub zone: ZoneName,
-    /// Listens for callers; port 0 lets the system choose one.
+    /// Address on which connections of callers are accepted; with port 0 the system chooses the port.
     pub listen_address: SocketAddr,
-    /// Listens for metrics and probes; port 0 lets the system choose one.
+    /// Address on which requests for metrics and probes are accepted; with port 0 the system chooses the port.
     pub admin_address: SocketAddr,
     /// Router addresses of the control replicas or relays.
     pub control_addresses: Vec<SocketAddr>,
-    /// Group that is followed.
+    /// Control group whose routing table the router follows.
     pub group: GroupId,
-    /// Bounds of this router.
+    /// Limits of this router.
     pub limits: RouterLimits,
 }
 
-/// Bounds of one router.
+/// Limits of one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterLimits {
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub threads: u32,
-    /// Connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub caller_connections: u32,
-    /// Largest body of a request or an answer in bytes.
+    /// Maximum size of the body of a request or response in bytes.
     pub body_bytes: u64,
-    /// Longest silence of a caller within a request.
+    /// Maximum time without data from a caller within a request.
     pub caller_idle: Duration,
-    /// Deadline of a request that states none.
+    /// Deadline of a request that does not state one.
     pub default_deadline: Duration,
-    /// Longest time to connect to a back end.
+    /// Maximum time to connect to a back end.
     pub connect_timeout: Duration,
-    /// Between two load reports.
+    /// Interval between load reports.
     pub report: Duration,
-    /// Time that a stopping router gives its requests.
+    /// Time that a stopping router allows its requests to finish.
     pub drain: Duration,
 }
 
 impl Default for RouterLimits {
     fn default() -> Self {
-        typed(&schema::RouterLimits::default())
+        to_limits(&schema::RouterLimits::default())
     }
 }
 
-/// Loads a settings file of `grebepin-router`, fills in defaults and checks every field.
+/// Loads a settings file of `grebepin-router`, fills in default values and checks all fields.
 pub fn load_router(path: impl AsRef<Path>) -> Result<RouterSettings, SettingsError> {
     let path = path.as_ref();
     parse_router(path, &file::read(path)?)
 }
 
-/// Like [`load_router`] for a text already read; `path` only names it in errors.
+/// Like [`load_router`], for a text that is already read; `path` is only used in errors.
 pub fn parse_router(path: &Path, text: &str) -> Result<RouterSettings, SettingsError> {
     let raw: schema::RouterSettings = file::parse(path, text)?;
     let mut problems = Problems::default();
@@ -74,8 +74,8 @@
 }
 
 impl RouterSettings {
-    /// Checks the settings against this machine: listens on each address for a moment. Run it
-    /// before the daemon opens them.
+    /// Checks the settings against this machine: binds and releases each listening address. Must run before
+    /// the daemon opens them.
     pub fn check_host(&self) -> Result<(), SettingsError> {
         let mut problems = Problems::default();
         host::check_listen("listen_address", self.listen_address, &mut problems);
@@ -94,11 +94,12 @@
         path: path.to_owned(),
         name: raw.name,
         zone: raw.zone,
-        listen_address: problems.address("listen_address", &raw.listen_address),
-        admin_address: problems.address("admin_address", &raw.admin_address),
-        control_addresses: problems.others("control_addresses", &raw.control_addresses),
+        listen_address: problems.parse_address("listen_address", &raw.listen_address),
+        admin_address: problems.parse_address("admin_address", &raw.admin_address),
+        control_addresses: problems
+            .parse_peer_addresses("control_addresses", &raw.control_addresses),
         group: GroupId(raw.group),
-        limits: typed(&limits),
+        limits: to_limits(&limits),
     };
     let admin = settings.admin_address;
     if admin == settings.listen_address && admin.port() != 0 {
@@ -127,13 +128,13 @@
         ("limits.drain_ms", raw.drain_ms, 0, 600_000),
     ];
     for (field, value, minimum, maximum) in limits {
-        problems.range(field, value, minimum, maximum);
+        problems.check_range(field, value, minimum, maximum);
     }
     let field = ("limits.default_deadline_ms", deadline);
-    problems.at_least(field, 1, ("connect_timeout_ms", connect_timeout));
+    problems.check_at_least(field, 1, ("connect_timeout_ms", connect_timeout));
 }
 
-fn typed(raw: &schema::RouterLimits) -> RouterLimits {
+fn to_limits(raw: &schema::RouterLimits) -> RouterLimits {
     RouterLimits {
         threads: raw.threads.get(),
         caller_connections: raw.caller_connections.get(),
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -1,4 +1,4 @@
-//! Settings files: the deployments' load, and each broken rule names its field.
+//! Settings files: those of the deployments load, and each violated rule is reported with its field.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const CONTROL: &str = include_str!("../../../deployments/recife/control-boa-vista.toml");
 const ROUTER: &str = include_str!("../../../deployments/recife/router-boa-vista.toml");
 
-fn refusal<T: std::fmt::Debug>(result: Result<T, SettingsError>, case: &str) -> String {
+fn error_message<T: std::fmt::Debug>(result: Result<T, SettingsError>, case: &str) -> String {
     result.expect_err(case).to_string()
 }
 
@@ -54,7 +54,7 @@
     assert_eq!(settings.limits.body_bytes, 1 << 20);
 }
 
-/// Text in the file of `control-boa-vista.toml`, what replaces it, and what the error says.
+/// Text in `control-boa-vista.toml`, its replacement, and the expected part of the error message.
 #[rustfmt::skip]
 const CONTROL_RULES: &[(&str, &str, &str)] = &[
     ("zone = \"boa-vista\"", "", "missing field `zone`"),
@@ -92,11 +92,11 @@
 ];
 
 #[test]
-fn each_broken_control_field_is_named() {
+fn each_invalid_control_field_is_reported() {
     for (from, to, expected) in CONTROL_RULES {
         assert!(CONTROL.contains(from), "{from} is in the file");
         let text = CONTROL.replacen(from, to, 1);
-        let message = refusal(parse_control(Path::new("control.toml"), &text), to);
+        let message = error_message(parse_control(Path::new("control.toml"), &text), to);
         assert!(
             message.contains(expected),
             "{to}: no {expected:?} in {message}"
@@ -105,7 +105,7 @@
     }
 }
 
-/// As [`CONTROL_RULES`], for `router-boa-vista.toml`.
+/// Like [`CONTROL_RULES`], for `router-boa-vista.toml`.
 #[rustfmt::skip]
 const ROUTER_RULES: &[(&str, &str, &str)] = &[
     ("name = ", "Name = ", "unknown field `Name`"),
@@ -119,11 +119,11 @@
 ];
 
 #[test]
-fn each_broken_router_field_is_named() {
+fn each_invalid_router_field_is_reported() {
     for (from, to, expected) in ROUTER_RULES {
         assert!(ROUTER.contains(from), "{from} is in the file");
         let text = ROUTER.replacen(from, to, 1);
-        let message = refusal(parse_router(Path::new("router.toml"), &text), to);
+        let message = error_message(parse_router(Path::new("router.toml"), &text), to);
         assert!(
             message.contains(expected),
             "{to}: no {expected:?} in {message}"
@@ -138,7 +138,10 @@
         .replacen("server_lease_ms = 1000", "server_lease_ms = 10", 1);
     match parse_control(Path::new("c"), &text) {
         Err(SettingsError::Invalid { problems, .. }) => {
-            let fields: Vec<_> = problems.iter().map(|one| one.field.as_str()).collect();
+            let fields: Vec<_> = problems
+                .iter()
+                .map(|problem| problem.field.as_str())
+                .collect();
             assert!(fields.contains(&"required_signatures"), "{fields:?}");
             assert!(fields.contains(&"timing.server_lease_ms"), "{fields:?}");
         }
@@ -147,7 +150,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
-    let message = refusal(load_control("/nonexistent/control.toml"), "absent");
+fn a_missing_file_is_named() {
+    let message = error_message(load_control("/nonexistent/control.toml"), "absent");
     assert!(message.contains("/nonexistent/control.toml"), "{message}");
 }
--- a/crates/settings/tests/host.rs
+++ b/crates/settings/tests/host.rs
@@ -1,4 +1,5 @@
-//! Settings against this machine: ports in use, addresses of others, folders that can't be written.
+//! Checks of settings against the machine: ports in use, addresses of other machines, folders that can't be
+//! written to.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_free_machine_passes_and_keeps_nothing() {
+fn check_passes_with_free_ports_and_leaves_no_files() {
     let folder = tempfile::tempdir().expect("a folder");
     let data_dir = folder.path().join("data/control");
     control(&data_dir).check_host().expect("passes");
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn what_does_not_fit_the_machine_is_named() {
+fn fields_that_do_not_fit_the_machine_are_reported() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("file");
     std::fs::write(&file, "").expect("writes");
