--- a/crates/schema/src/framing.rs
+++ b/crates/schema/src/framing.rs
@@ -1,6 +1,6 @@
-//! Frames of the internal protocol: a length of four bytes, big endian, then a MessagePack value.
+//! Frames of the internal protocol: a big-endian length of four bytes, followed by a MessagePack value.
 //!
-//! Invariant: a frame longer than the stated limit is refused before any memory is taken for it.
+//! Invariant: a received frame longer than the limit is rejected before any memory is allocated for it.
 
 use std::io::{Read, Write};
 
@@ -9,24 +9,24 @@
 
 use crate::limits::MAXIMUM_FRAME_BYTES;
 
-const PREFIX_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why a frame could not be read or written.
+/// Error while a frame is read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection failed or was closed within a frame.
+    /// The connection failed, or was closed within the length prefix of a frame.
     #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The peer closed the connection between two frames.
+    /// The peer closed the connection between two frames, or within the body of a frame.
     #[error("connection closed by the peer")]
     Closed,
     /// The frame is longer than the limit.
     #[error("frame of {bytes} bytes is over the limit of {MAXIMUM_FRAME_BYTES}")]
     TooLong {
-        /// Length the frame announced.
+        /// Length of the frame in bytes, without its prefix.
         bytes: usize,
     },
-    /// The bytes are no value of the expected type.
+    /// The bytes are not a value of the expected type.
     #[error("frame does not decode: {0}")]
     Decode(#[from] rmp_serde::decode::Error),
     /// The value could not be encoded.
@@ -34,12 +34,12 @@
     Encode(#[from] rmp_serde::encode::Error),
 }
 
-/// Encodes a value as MessagePack with field names, so that fields may be added later.
+/// Encodes a value as MessagePack with field names, so that fields can be added later.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, FrameError> {
     Ok(rmp_serde::to_vec_named(value)?)
 }
 
-/// Decodes a MessagePack value; any bytes give a value or a typed error.
+/// Decodes a MessagePack value. Invalid bytes return an error and never cause a panic.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
     if bytes.len() > MAXIMUM_FRAME_BYTES {
         return Err(FrameError::TooLong { bytes: bytes.len() });
@@ -47,13 +47,13 @@
     Ok(rmp_serde::from_slice(bytes)?)
 }
 
-/// Writes one frame and flushes it.
+/// Writes one frame and flushes the writer. Returns the size of the frame in bytes, including the prefix.
 pub fn write_frame<T: Serialize>(writer: &mut impl Write, value: &T) -> Result<usize, FrameError> {
     let body = encode(value)?;
     if body.len() > MAXIMUM_FRAME_BYTES {
         return Err(FrameError::TooLong { bytes: body.len() });
     }
-    let mut frame = Vec::with_capacity(PREFIX_BYTES + body.len());
+    let mut frame = Vec::with_capacity(LENGTH_PREFIX_BYTES + body.len());
     frame.extend_from_slice(&(body.len() as u32).to_be_bytes());
     frame.extend_from_slice(&body);
     writer.write_all(&frame)?;
@@ -61,9 +61,12 @@
     Ok(frame.len())
 }
 
-/// Reads one frame; [`FrameError::Closed`] when the peer closed before its first byte.
+/// Reads one frame.
+///
+/// # Errors
+/// [`FrameError::Closed`] if the peer closed the connection before the first byte or within the body.
 pub fn read_frame<T: DeserializeOwned>(reader: &mut impl Read) -> Result<T, FrameError> {
-    let mut prefix = [0; PREFIX_BYTES];
+    let mut prefix = [0; LENGTH_PREFIX_BYTES];
     if reader.read(&mut prefix[..1])? == 0 {
         return Err(FrameError::Closed);
     }
--- a/crates/schema/src/generated.rs
+++ b/crates/schema/src/generated.rs
@@ -1,7 +1,7 @@
 //! Generated from the files under `schema/` by `cargo xtask generate`. Do not edit.
 #![allow(missing_docs, clippy::all)]
 
-///A bundle whose signatures were checked.
+///A bundle with verified signatures.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct AcceptBundle {
@@ -15,7 +15,7 @@
     pub record: BundleRecord,
     pub signed: SignedBundle,
 }
-///JSON body of every refusal on the admin address.
+///JSON body of every error response on the admin address.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ApiError {
@@ -27,10 +27,10 @@
     pub kind: ApiErrorKind,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub leader_admin_address: ::std::option::Option<SocketAddress>,
-    ///For people, with what to do next.
+    ///Message for human readers; states what to do next.
     pub message: ::std::string::String,
 }
-///What went wrong.
+///Kind of error.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -44,10 +44,10 @@
     PartialOrd
 )]
 pub enum ApiErrorKind {
-    ///Ask the leader.
+    ///The replica is not the leader; the request must be sent to the leader.
     #[serde(rename = "not-leader")]
     NotLeader,
-    ///No leader is known now.
+    ///No leader is currently known.
     #[serde(rename = "no-leader")]
     NoLeader,
     ///The group is not founded yet.
@@ -56,7 +56,7 @@
     ///The replica belongs to another founding.
     #[serde(rename = "already-founded")]
     AlreadyFounded,
-    ///The request does not parse.
+    ///The request can't be parsed.
     #[serde(rename = "bad-request")]
     BadRequest,
     ///The request is over the limit.
@@ -77,22 +77,22 @@
     ///The bundle does not follow the accepted one.
     #[serde(rename = "parent-mismatch")]
     ParentMismatch,
-    ///No such server.
+    ///The server does not exist.
     #[serde(rename = "unknown-server")]
     UnknownServer,
-    ///No such member.
+    ///The member does not exist.
     #[serde(rename = "unknown-member")]
     UnknownMember,
-    ///Another membership change is under way, or this one would lose the quorum.
+    ///Another membership change is in progress, or this one would lose the quorum.
     #[serde(rename = "membership-busy")]
     MembershipBusy,
     ///The outcome is not known; send the same request again.
     #[serde(rename = "lost-leadership")]
     LostLeadership,
-    ///No such path.
+    ///The path does not exist.
     #[serde(rename = "not-found")]
     NotFound,
-    ///A failure inside the replica.
+    ///An internal error of the replica.
     #[serde(rename = "internal")]
     Internal,
 }
@@ -162,7 +162,7 @@
         value.parse()
     }
 }
-///Entries that follow a known one.
+///Log entries that follow the given previous entry.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct AppendRequest {
@@ -173,15 +173,15 @@
     ///Number of the leader's heartbeat round, for leader leases and linearizable reads.
     pub round: u64,
 }
-///What the follower holds.
+///Position of the follower's log.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct AppendResponse {
-    ///Whether the previous entry matched.
+    ///Whether the follower's log contains the previous entry.
     pub accepted: bool,
-    ///Highest index known to match when accepted; where to try next when not.
+    ///If accepted, the highest index known to match; otherwise the index to try next.
     pub last_index: LogIndex,
-    ///Round of the request answered.
+    ///Heartbeat round of the request.
     pub round: u64,
 }
 ///New owners of shards.
@@ -190,13 +190,13 @@
 pub struct AssignShards {
     pub assignments: ::std::vec::Vec<Assignment>,
 }
-///A new owner of one shard; its epoch is the index of the entry.
+///A new owner of one shard; the new epoch is the index of the log entry.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Assignment {
-    ///Epoch that the shard must have, 0 for a shard that never had an owner.
+    ///Epoch that the shard must have; 0 for a shard that never had an owner.
     pub expected_epoch: Epoch,
-    ///Whether the present owner released the shard.
+    ///Whether the current owner released the shard.
     pub released: bool,
     ///New owner; absent for none.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
@@ -218,21 +218,21 @@
     pub service: ServiceName,
     pub shard: ShardId,
 }
-///A version of everything that operators decide about one deployment.
+///One version of the complete configuration of a deployment, as decided by operators.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    ///Never changes.
+    ///Name of the deployment; never changes.
     pub deployment: DeploymentName,
-    ///Why this bundle is rolled, for other operators.
+    ///Reason for this bundle, for other operators.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub note: ::std::option::Option<::std::string::String>,
     ///Digest of the accepted bundle this one follows; absent only for the first.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub parent: ::std::option::Option<Digest>,
-    ///Services, each with its own name.
+    ///Services; their names are unique.
     pub services: ::std::vec::Vec<Service>,
-    ///Version number; grows with each accepted bundle.
+    ///Version number; increases with each accepted bundle.
     pub version: u64,
 }
 ///A bundle in force.
@@ -244,32 +244,32 @@
     ///Version.
     pub version: u64,
 }
-///A shard that takes no new work and still finishes requests.
+///A shard that accepts no new requests and still has requests running.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct BusyShard {
     pub epoch: Epoch,
-    ///Requests still running.
+    ///Number of requests still running.
     pub in_flight: u32,
     pub service: ServiceName,
     pub shard: ShardId,
 }
-///How one attempt ended.
+///Result of one attempt.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CallerAnswer {
-    ///Request that the answer says it belongs to.
+    ///Identifier of the request to which the response belongs, as stated in the response.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub answer_for: ::std::option::Option<RequestId>,
-    ///As sent.
+    ///Number of the attempt, as sent.
     pub attempt: u32,
-    ///From the intended start.
+    ///Time since the intended start of the attempt.
     pub latency_us: u64,
-    ///Absent when the caller had no answer.
+    ///Outcome stated in the response; absent if the caller received none.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub outcome: ::std::option::Option<Outcome>,
     pub request_id: RequestId,
-    ///Whether the answer was whole.
+    ///Whether the response was complete.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub whole: ::std::option::Option<bool>,
 }
@@ -277,19 +277,19 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CallerAttempt {
-    ///1 for the first, 2 and more for resends.
+    ///Number of the attempt: 1 for the first, 2 and more for resends.
     pub attempt: u32,
     pub class: ClassName,
     ///Key.
     pub key: ::std::string::String,
-    ///Whether it may run twice.
+    ///Whether the request is idempotent and may be run twice.
     pub repeatable: bool,
     pub request_id: RequestId,
-    ///Router asked.
+    ///Router to which the attempt was sent.
     pub router: ::std::string::String,
     pub service: ServiceName,
 }
-///What became of the request.
+///Response to a cancel request: the state of the request.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CancelAnswer {
@@ -297,7 +297,7 @@
     pub epoch: Epoch,
     pub state: RequestState,
 }
-///POST /grebepin/v1/cancel.
+///Body of POST /grebepin/v1/cancel.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CancelRequest {
@@ -306,15 +306,15 @@
     pub service: ServiceName,
     pub shard: ShardId,
 }
-///Bounds on planned moves of shards.
+///Limits on planned moves of shards.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ChurnPolicy {
-    ///Planned moves under way at once.
+    ///Maximum number of planned moves in progress at the same time.
     pub concurrent_moves: ::std::num::NonZeroU32,
     ///Load above the mean, in percent, below which no shard moves for balance.
     pub imbalance_percent: u32,
-    ///Planned moves started in a minute, over the whole service.
+    ///Maximum number of planned moves started per minute in the whole service.
     pub moves_per_minute: u32,
 }
 ///Name of a class of requests.
@@ -373,7 +373,7 @@
             })
     }
 }
-///Identifier of the founding of a control group, so that a resend is recognised.
+///Identifier of the founding of a control group, by which a repeated request is recognised.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct ClusterId(::std::string::String);
@@ -432,13 +432,13 @@
 ///A command in a control group's log.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum Command {
-    ///Puts a signed bundle in force, if it follows the one in force.
+    ///Puts a signed bundle into force if it follows the one in force.
     #[serde(rename = "accept_bundle")]
     AcceptBundle(AcceptBundle),
-    ///Changes owners of shards, each only if its epoch is the expected one.
+    ///Changes the owners of shards, each only if the shard has the expected epoch.
     #[serde(rename = "assign")]
     Assign(AssignShards),
-    ///Changes what a server may be given.
+    ///Changes the standing of a server.
     #[serde(rename = "set_standing")]
     SetStanding(SetStanding),
     ///Records a new start of a server and gives each of its shards a fresh epoch.
@@ -468,16 +468,16 @@
 ///A frame to a router or relay.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum ControlFrame {
-    ///The whole table, from a linearizable read.
+    ///The whole routing table, from a linearizable read.
     #[serde(rename = "snapshot")]
     Snapshot(TableSnapshot),
-    ///Changes that follow the index the router has.
+    ///Changes that follow the index at the router.
     #[serde(rename = "delta")]
     Delta(TableDelta),
-    ///Nothing changed; the commit index seen by a majority has reached this.
+    ///No change; the commit index confirmed by a majority has reached this value.
     #[serde(rename = "current")]
     Current(LogIndex),
-    ///Ask another replica; no address while no leader is known.
+    ///Another replica must be asked; no address is given while no leader is known.
     #[serde(rename = "redirect")]
     Redirect(Redirect),
 }
@@ -505,55 +505,55 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    ///Listens for operators, metrics and probes.
+    ///Address on which requests of operators, for metrics and for probes are accepted.
     pub admin_address: SocketAddress,
     ///Folder for the log, snapshots and identity.
     pub data_dir: ::std::string::String,
-    ///Group of this replica.
+    ///Control group of this replica.
     #[serde(default)]
     pub group: u32,
     pub operators: ::std::vec::Vec<TrustedOperator>,
-    ///Listens for other replicas.
+    ///Address on which connections of other replicas are accepted.
     pub peer_address: SocketAddress,
     ///Peer addresses of the group's other replicas.
     pub peers: ::std::vec::Vec<SocketAddress>,
-    ///Where the platform's list of machines is asked; absent for none.
+    ///Address from which the platform's list of machines is read; absent if there is no list.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub platform_address: ::std::option::Option<SocketAddress>,
-    ///Sign-offs a bundle needs.
+    ///Number of sign-offs that a bundle needs.
     pub required_signatures: ::std::num::NonZeroU32,
-    ///Listens for routers and relays.
+    ///Address on which connections of routers and relays are accepted.
     pub router_address: SocketAddress,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub timing: ::std::option::Option<ControlTiming>,
     pub zone: ZoneName,
 }
-///Times of a control group; equal on all its replicas.
+///Timing of a control group; must be equal on all its replicas.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ControlTiming {
-    ///Most by which two clocks' rates differ, in percent.
+    ///Maximum difference between the rates of two clocks in percent.
     #[serde(default = "defaults::default_u64::<u64, 2>")]
     pub drift_percent: u64,
-    ///Least silence before a pre-vote; up to half as much again at random. Also the leader lease.
+    ///Minimum time without a message from the leader before a pre-vote; extended at random by up to half. Also the duration of the leader lease.
     #[serde(default = "defaults::default_u64::<u64, 300>")]
     pub election_timeout_ms: u64,
-    ///Between two looks at the platform's list.
+    ///Interval between reads of the platform's list of machines.
     #[serde(default = "defaults::default_u64::<u64, 500>")]
     pub platform_poll_ms: u64,
-    ///Between a leader's rounds.
+    ///Interval between the heartbeats of a leader to its followers.
     #[serde(default = "defaults::default_u64::<u64, 60>")]
     pub replica_heartbeat_ms: u64,
-    ///Between heartbeats to a server.
+    ///Interval between heartbeats to a server.
     #[serde(default = "defaults::default_u64::<u64, 200>")]
     pub server_heartbeat_ms: u64,
-    ///Lease of a server.
+    ///Duration of the lease of a server.
     #[serde(default = "defaults::default_u64::<u64, 1000>")]
     pub server_lease_ms: u64,
-    ///Entries between two snapshots.
+    ///Number of log entries between two snapshots.
     #[serde(default = "defaults::default_u64::<u64, 2000>")]
     pub snapshot_every_entries: u64,
-    ///Step of all timers.
+    ///Resolution of all timers.
     #[serde(default = "defaults::default_nzu64::<::std::num::NonZeroU64, 10>")]
     pub tick_ms: ::std::num::NonZeroU64,
 }
@@ -571,14 +571,14 @@
         }
     }
 }
-///A silent cut.
+///An interruption of connections that are not closed.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Cut {
     pub process: ProcessName,
     pub traffic: CutTraffic,
 }
-///What a cut stops.
+///Traffic that is interrupted.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -592,13 +592,13 @@
     PartialOrd
 )]
 pub enum CutTraffic {
-    ///Everything.
+    ///All traffic.
     #[serde(rename = "all")]
     All,
-    ///The control replicas' calls.
+    ///Requests of the control replicas.
     #[serde(rename = "control")]
     Control,
-    ///Routers' requests.
+    ///Requests of routers.
     #[serde(rename = "requests")]
     Requests,
 }
@@ -752,26 +752,26 @@
             })
     }
 }
-///POST /grebepin/v1/drain.
+///Body of POST /grebepin/v1/drain.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DrainRequest {
     ///true to leave, false to stay.
     pub draining: bool,
 }
-///The drain is committed.
+///Response to a drain request; the change is committed.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DrainServerAnswer {
     pub index: LogIndex,
-    ///Shards the server still owns.
+    ///Number of shards that the server still owns.
     pub shards: u32,
 }
-///POST /v1/drain.
+///Body of POST /v1/drain.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DrainServerRequest {
-    ///true to drain, false to bring back.
+    ///true to drain the server, false to cancel the drain.
     pub draining: bool,
     pub server: ServerName,
 }
@@ -782,7 +782,7 @@
     pub epoch: Epoch,
     ///Key.
     pub key: ::std::string::String,
-    ///Whether it may run twice.
+    ///Whether the request is idempotent and may be run twice.
     pub repeatable: bool,
     pub request_id: RequestId,
     pub server: ServerName,
@@ -797,16 +797,16 @@
     pub payload: EntryPayload,
     pub term: Term,
 }
-///What a log entry holds.
+///Content of a log entry.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum EntryPayload {
-    ///Written by a new leader to commit earlier terms.
+    ///Empty entry that a new leader appends to commit the entries of earlier terms.
     #[serde(rename = "noop")]
     Noop,
-    ///A command of the replicated state machine, encoded.
+    ///An encoded command of the replicated state machine.
     #[serde(rename = "command")]
     Command(crate::Bytes),
-    ///A new membership, which differs from the one before by one member.
+    ///A new membership, which differs from the previous one by one member.
     #[serde(rename = "membership")]
     Membership(Membership),
 }
@@ -820,7 +820,7 @@
         Self::Membership(value)
     }
 }
-///Fencing number of one shard's ownership: the log index at which that owner was committed.
+///Fencing token of one shard's ownership: the log index at which that owner was committed.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -875,21 +875,21 @@
         value.parse()
     }
 }
-///A run of a whole fleet with faults at stated times.
+///A run of a whole fleet with faults at given times.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     pub load: ::std::vec::Vec<ServiceRate>,
-    ///Name in reports.
+    ///Name of the experiment in reports.
     pub name: ExperimentName,
-    ///What the run shows.
+    ///Purpose of the run.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub note: ::std::option::Option<::std::string::String>,
     ///Length of the run, from the first caller's start.
     pub seconds: ::std::num::NonZeroU64,
     pub steps: ::std::vec::Vec<Step>,
 }
-///Name in reports.
+///Name of the experiment in reports.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct ExperimentName(::std::string::String);
@@ -945,34 +945,34 @@
             })
     }
 }
-///What happens.
+///Kind of fault or action.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum Fault {
     ///The process is killed.
     #[serde(rename = "kill")]
     Kill(ProcessName),
-    ///The process is started again with its folder as it is.
+    ///The process is started again with its data folder unchanged.
     #[serde(rename = "start")]
     Start(ProcessName),
-    ///The process is told to stop and finishes what runs.
+    ///The process is asked to stop and finishes its running requests.
     #[serde(rename = "stop")]
     Stop(ProcessName),
-    ///The process stands still and goes on later.
+    ///The process is paused and resumed later.
     #[serde(rename = "freeze")]
     Freeze(Freeze),
     ///The process is killed, its data folder is emptied, and it is started again.
     #[serde(rename = "lose_disk")]
     LoseDisk(ProcessName),
-    ///A back end is cut off silently.
+    ///The connections of a back end are interrupted without being closed.
     #[serde(rename = "cut")]
     Cut(Cut),
-    ///A back end's cuts end.
+    ///The interruptions of a back end's connections end.
     #[serde(rename = "heal")]
     Heal(ProcessName),
     ///A back end is drained by the operator.
     #[serde(rename = "drain")]
     Drain(ServerName),
-    ///A back end is brought back by the operator.
+    ///The drain of a back end is cancelled by the operator.
     #[serde(rename = "restore")]
     Restore(ServerName),
     ///An operator rolls the deployment's bundle of this version.
@@ -1000,30 +1000,30 @@
         Self::RollingRestart(value)
     }
 }
-///Asks for the table.
+///Requests the routing table.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FollowRequest {
     pub group: GroupId,
-    ///Index of the table in force at the router; 0 for none.
+    ///Log index of the routing table in force at the router; 0 for none.
     pub have_index: LogIndex,
-    ///Chosen at each start of the router.
+    ///Identifier chosen at each start of the router.
     pub incarnation: u64,
     pub router: RouterName,
     pub zone: ZoneName,
 }
-///POST /v1/found on every founding replica; the same on all.
+///Body of POST /v1/found, sent unchanged to every founding replica.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FoundRequest {
     pub cluster: ClusterId,
     pub members: ::std::vec::Vec<Member>,
 }
-///A process that stands still.
+///A paused process.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Freeze {
-    ///How long.
+    ///Duration of the pause.
     pub for_ms: ::std::num::NonZeroU64,
     pub process: ProcessName,
 }
@@ -1037,12 +1037,12 @@
     pub service: ServiceName,
     pub shard: ShardId,
 }
-///Which grants took effect.
+///Response to a grant request: the grants that took effect and those that did not.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GrantAnswer {
     pub accepted: ::std::vec::Vec<HeldShard>,
-    ///As in the heartbeat's answer.
+    ///As in the response to a heartbeat.
     pub boot: u64,
     pub refused: ::std::vec::Vec<GrantRefusal>,
     pub session: Session,
@@ -1070,10 +1070,10 @@
     PartialOrd
 )]
 pub enum GrantRefusalReason {
-    ///A newer leader was heard.
+    ///A message of a newer leader was received before.
     #[serde(rename = "stale-term")]
     StaleTerm,
-    ///The grant belongs to an ended session.
+    ///The grant belongs to a session that has ended.
     #[serde(rename = "stale-session")]
     StaleSession,
     ///The server released or held this epoch or a later one.
@@ -1128,7 +1128,7 @@
         value.parse()
     }
 }
-///POST /grebepin/v1/grant.
+///Body of POST /grebepin/v1/grant.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GrantRequest {
@@ -1137,7 +1137,7 @@
     pub session: Session,
     pub term: Term,
 }
-///A control group: the replicas that decide together for a set of shards.
+///Number of a control group: the replicas that manage the ownership of a set of shards by consensus.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1192,15 +1192,15 @@
         value.parse()
     }
 }
-///GET /grebepin/v1/handover?service=S&shard=N&epoch=E, from the next owner to the previous one.
+///Response to GET /grebepin/v1/handover?service=S&shard=N&epoch=E, which the next owner sends to the previous one.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HandoverAnswer {
-    ///Whether the record holds every request since the shard's first owner, within the retention.
+    ///Whether the record holds every request since the shard's first owner, within the retention time.
     pub complete: bool,
     pub entries: ::std::vec::Vec<RecordEntry>,
 }
-///What a replica must not forget.
+///Consensus state that a replica must keep on disk.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HardState {
@@ -1209,13 +1209,13 @@
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub vote: ::std::option::Option<ReplicaId>,
 }
-///GET /grebepin/v1/health.
+///Response to GET /grebepin/v1/health.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HealthAnswer {
     pub state: HealthState,
 }
-///What the server says of itself.
+///Health state reported by the server.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1229,16 +1229,16 @@
     PartialOrd
 )]
 pub enum HealthState {
-    ///Serving.
+    ///The server accepts requests.
     #[serde(rename = "ok")]
     Ok,
-    ///Serving slowly after its start.
+    ///The server is warming up after its start.
     #[serde(rename = "cold")]
     Cold,
-    ///Leaving.
+    ///The server is leaving.
     #[serde(rename = "draining")]
     Draining,
-    ///Not able to serve.
+    ///The server can't serve requests.
     #[serde(rename = "failing")]
     Failing,
 }
@@ -1282,40 +1282,40 @@
         value.parse()
     }
 }
-///What the server holds.
+///Response to a heartbeat: the server's session and a summary of the shards it holds.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HeartbeatAnswer {
-    ///Chosen at random at each start of the server.
+    ///Boot identifier, chosen at random at each start of the server.
     pub boot: u64,
-    ///Whether the server wants to leave.
+    ///Whether the server is leaving.
     pub draining: bool,
-    ///Count of shards held for this group.
+    ///Number of shards held for this group.
     pub held: u32,
     ///Sum, modulo 2^64, over held shards of shard_hash(service, shard, epoch).
     pub held_checksum: u64,
-    ///Requests running now.
+    ///Number of requests running now.
     pub in_flight: u32,
-    ///0 without a lease.
+    ///Remaining time of the lease; 0 without a lease.
     pub lease_remaining_ms: u64,
-    ///Fresh; the next renewal returns it.
+    ///Newly issued nonce; the next renewal must return it.
     pub nonce: Nonce,
     ///Whether this request's lease renewal took effect.
     pub renewed: bool,
     pub session: Session,
 }
-///POST /grebepin/v1/heartbeat, from a control leader.
+///Body of POST /grebepin/v1/heartbeat, sent by the leader of a control group.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HeartbeatRequest {
     pub group: GroupId,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub lease: ::std::option::Option<LeaseRenewal>,
-    ///Name the control group knows the server by.
+    ///Name of the server in the control group.
     pub server: ServerName,
     pub term: Term,
 }
-///A shard held at an epoch.
+///A shard and the epoch at which it is held.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1348,49 +1348,49 @@
     ///A caller sent a request.
     #[serde(rename = "sent")]
     Sent(CallerAttempt),
-    ///A caller received its answer, or gave up.
+    ///A caller received a response or gave up.
     #[serde(rename = "finished")]
     Finished(CallerAnswer),
-    ///A server took new work.
+    ///A server started to process a request.
     #[serde(rename = "work_started")]
     WorkStarted(EffectRecord),
-    ///A server ended work that it had taken, without its effect.
+    ///A server ended the processing of a request without its effect.
     #[serde(rename = "work_ended")]
     WorkEnded(EffectRecord),
-    ///A server was told to leave, or the platform said so to the control group.
+    ///A server was asked to leave, or the platform reported to the control group that it is leaving.
     #[serde(rename = "leaving")]
     Leaving(ServerName),
-    ///A server was brought back.
+    ///The drain of a server was cancelled.
     #[serde(rename = "staying")]
     Staying(ServerName),
     ///A server was stopped as planned.
     #[serde(rename = "stopped")]
     Stopped(ServerName),
-    ///A server cut a request in flight at its planned stop.
+    ///A server aborted a request in flight during its planned stop.
     #[serde(rename = "cut")]
     Cut(EffectRecord),
-    ///A process was killed; it holds nothing from then on.
+    ///A process was killed; it holds no shards from then on.
     #[serde(rename = "killed")]
     Killed(::std::string::String),
-    ///A process was frozen; it keeps what it holds until its leases end.
+    ///A process was paused; it holds its shards until its leases end.
     #[serde(rename = "frozen")]
     Frozen(::std::string::String),
-    ///A process was cut off from some or all others.
+    ///A process was disconnected from some or all other processes.
     #[serde(rename = "cut_off")]
     CutOff(::std::string::String),
-    ///A process came back.
+    ///A process is running and connected again.
     #[serde(rename = "returned")]
     Returned(::std::string::String),
     ///The control group acknowledged an assignment.
     #[serde(rename = "acknowledged")]
     Acknowledged(AssignmentRecord),
-    ///A replica's applied state says who owns a shard.
+    ///The owner of a shard according to the applied state of a replica.
     #[serde(rename = "believed")]
     Believed(AssignmentRecord),
     ///A bundle was accepted.
     #[serde(rename = "accepted")]
     Accepted(BundleRecord),
-    ///A router put a table in force.
+    ///A router put a routing table into force.
     #[serde(rename = "in_force")]
     InForce(InForceRecord),
 }
@@ -1414,15 +1414,15 @@
         Self::InForce(value)
     }
 }
-///One thing that happened.
+///One recorded event with its time.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HistoryRecord {
-    ///Time in microseconds on the run's one clock.
+    ///Time in microseconds on the clock shared by the whole run.
     pub at_us: u64,
     pub event: HistoryEvent,
 }
-///A server's hold on a shard.
+///A shard held by a server.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Holding {
@@ -1431,14 +1431,14 @@
     pub service: ServiceName,
     pub shard: ShardId,
 }
-///GET /grebepin/v1/holdings?group=G.
+///Response to GET /grebepin/v1/holdings?group=G.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HoldingsAnswer {
     pub session: Session,
     pub shards: ::std::vec::Vec<HeldShard>,
 }
-///GET /v1/identity.
+///Response to GET /v1/identity.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct IdentityAnswer {
@@ -1451,34 +1451,34 @@
     pub router_address: SocketAddress,
     pub zone: ZoneName,
 }
-///A router's table.
+///The routing table of a router.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct InForceRecord {
     ///Version of its bundle.
     pub bundle_version: u64,
-    ///Start of the router.
+    ///Identifier of the router's start.
     pub incarnation: u64,
     pub index: LogIndex,
     pub router: RouterName,
 }
-///Sent by a replica with an empty folder to any member.
+///Request to join the group, sent to any member by a replica with an empty data folder.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct JoinRequest {
     pub group: GroupId,
     pub member: Member,
 }
-///Answer to a join request.
+///Response to a join request.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum JoinResponse {
-    ///The replica is a learner, or about to be.
+    ///The replica is a learner or will become one.
     #[serde(rename = "joining")]
     Joining,
-    ///Ask the leader at this peer address.
+    ///The leader must be asked, at this peer address.
     #[serde(rename = "try_leader")]
     TryLeader(SocketAddress),
-    ///No group is founded here yet.
+    ///The member belongs to no founded group yet.
     #[serde(rename = "not_founded")]
     NotFounded,
     ///The group refuses the replica.
@@ -1490,32 +1490,32 @@
         Self::TryLeader(value)
     }
 }
-///Renews the lease over every shard the server holds for the group.
+///Renews the lease on all shards that the server holds for the group.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseRenewal {
-    ///Counted by the server from the moment it issued the nonce.
+    ///Duration of the lease, counted by the server from the moment at which it issued the nonce.
     pub duration_ms: u64,
     pub nonce: Nonce,
     pub session: Session,
 }
-///GET /grebepin/v1/load.
+///Response to GET /grebepin/v1/load.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LoadAnswer {
-    ///Requests running.
+    ///Number of running requests.
     pub in_flight: u32,
-    ///Requests it runs at once.
+    ///Maximum number of requests that the server runs concurrently.
     pub slots: u32,
-    ///Requests waiting.
+    ///Number of waiting requests.
     pub waiting: u32,
 }
-///What a router counted over an interval.
+///Load that a router measured over an interval.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReport {
     pub group: GroupId,
-    ///Index of the table in force.
+    ///Log index of the routing table in force.
     pub in_force: LogIndex,
     ///As in the follow request.
     pub incarnation: u64,
@@ -1526,7 +1526,7 @@
     ///Shards with the most requests.
     pub shards: ::std::vec::Vec<ShardLoad>,
 }
-///Position in a control group's log, from 1.
+///Position in a control group's log, starting at 1.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1581,20 +1581,20 @@
         value.parse()
     }
 }
-///One entry of the platform's list, which lags.
+///One entry of the platform's list of machines, which may be out of date.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
     pub server: ServerName,
     pub state: MachineState,
 }
-///GET /machines from the platform.
+///Response of the platform to GET /machines.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct MachineList {
     pub machines: ::std::vec::Vec<Machine>,
 }
-///What the platform says of a machine.
+///State of a machine as reported by the platform.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1677,7 +1677,7 @@
     pub router_address: SocketAddress,
     pub zone: ZoneName,
 }
-///What a member counts for.
+///Role of a member in the group.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1691,13 +1691,13 @@
     PartialOrd
 )]
 pub enum MemberRole {
-    ///Counts towards elections and commits.
+    ///Counts in elections and commits.
     #[serde(rename = "voter")]
     Voter,
-    ///Receives the log and counts for nothing.
+    ///Receives the log and has no vote.
     #[serde(rename = "learner")]
     Learner,
-    ///A learner that never becomes a voter: its machine may be lost at any time.
+    ///A learner that never becomes a voter, because its machine may be lost at any time.
     #[serde(rename = "observer")]
     Observer,
 }
@@ -1739,16 +1739,16 @@
         value.parse()
     }
 }
-///A member as the leader sees it.
+///State of a member as known to the leader.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct MemberStatus {
-    ///Time since its last message.
+    ///Time since the last message of the member.
     pub last_heard_ms: u64,
     pub match_index: LogIndex,
     pub member: Member,
 }
-///Members in force from the moment their entry is in the log.
+///Members of the group; in force from the moment when the entry is in the log.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Membership {
@@ -1865,7 +1865,7 @@
             })
     }
 }
-///Header Grebepin-Outcome.
+///Value of the header Grebepin-Outcome.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1879,13 +1879,13 @@
     PartialOrd
 )]
 pub enum Outcome {
-    ///The answer is the owner's, whole.
+    ///The response is the complete response of the owner.
     #[serde(rename = "answered")]
     Answered,
     ///The request was not run.
     #[serde(rename = "not-run")]
     NotRun,
-    ///The request may have run; ask for its outcome.
+    ///The request may have run; its outcome can be queried.
     #[serde(rename = "unknown")]
     Unknown,
 }
@@ -1927,14 +1927,14 @@
         value.parse()
     }
 }
-///GET /grebepin/v1/outcome?service=S&shard=N&request_id=ID.
+///Response to GET /grebepin/v1/outcome?service=S&shard=N&request_id=ID.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OutcomeAnswer {
     pub epoch: Epoch,
     pub state: RequestState,
 }
-///GET /-/outcome/SERVICE/REQUEST-ID with the header Grebepin-Key.
+///Response to GET /-/outcome/SERVICE/REQUEST-ID with the header Grebepin-Key.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OutcomeLookup {
@@ -1948,7 +1948,7 @@
     pub service: ServiceName,
     pub shard: ShardId,
 }
-///Later frames of a snapshot: a run of shards of one service, as columns.
+///Later frame of a snapshot: consecutive shards of one service, stored as columns.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OwnershipChunk {
@@ -1966,13 +1966,13 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OwnershipHeader {
-    ///Bundles accepted lately, oldest first.
+    ///Recently accepted bundles, oldest first.
     pub accepted: ::std::vec::Vec<BundleRecord>,
     pub applied: LogIndex,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub bundle: ::std::option::Option<AcceptedBundle>,
     pub group: GroupId,
-    ///By slot; an absent server leaves its slot free.
+    ///Servers by slot; a slot without a server is free.
     pub servers: ::std::vec::Vec<ServerSlot>,
     pub services: ::std::vec::Vec<ServiceRecord>,
     pub table_index: LogIndex,
@@ -1980,28 +1980,28 @@
 ///Kinds of messages between replicas.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum PeerBody {
-    ///Asks whether a vote would be granted; changes no term.
+    ///Asks whether a vote would be granted; does not change the term.
     #[serde(rename = "pre_vote_request")]
     PreVoteRequest(VoteRequest),
-    ///Answer to a pre-vote request.
+    ///Response to a pre-vote request.
     #[serde(rename = "pre_vote_response")]
     PreVoteResponse(VoteResponse),
-    ///Asks for a vote in the message's term.
+    ///Requests a vote in the term of the message.
     #[serde(rename = "vote_request")]
     VoteRequest(VoteRequest),
-    ///Answer to a vote request.
+    ///Response to a vote request.
     #[serde(rename = "vote_response")]
     VoteResponse(VoteResponse),
-    ///Entries, or a heartbeat when there are none.
+    ///Log entries; a heartbeat if there are none.
     #[serde(rename = "append_request")]
     AppendRequest(AppendRequest),
-    ///Answer to an append request.
+    ///Response to an append request.
     #[serde(rename = "append_response")]
     AppendResponse(AppendResponse),
     ///One chunk of a snapshot.
     #[serde(rename = "snapshot_request")]
     SnapshotRequest(SnapshotRequest),
-    ///Answer to a chunk of a snapshot.
+    ///Response to a chunk of a snapshot.
     #[serde(rename = "snapshot_response")]
     SnapshotResponse(SnapshotResponse),
 }
@@ -2034,7 +2034,7 @@
     ///A join request.
     #[serde(rename = "join_request")]
     JoinRequest(JoinRequest),
-    ///Answer to a join request.
+    ///Response to a join request.
     #[serde(rename = "join_response")]
     JoinResponse(JoinResponse),
 }
@@ -2063,13 +2063,13 @@
     pub term: Term,
     pub to: ReplicaId,
 }
-///Who owned the shard before.
+///Previous owner of the shard.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PreviousOwner {
     pub address: SocketAddress,
     pub epoch: Epoch,
-    ///Whether it released the shard, so that its record can be fetched whole.
+    ///Whether the previous owner released the shard, so that its complete record can be fetched.
     pub released: bool,
     pub server: ServerName,
 }
@@ -2191,11 +2191,11 @@
             })
     }
 }
-///Bounds of the queue in front of one server at one router.
+///Limits of the queue for one server at one router.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct QueuePolicy {
-    ///Requests that may wait for one server.
+    ///Maximum number of requests waiting for one server.
     pub waiting_per_server: u32,
 }
 ///One request in a shard's record.
@@ -2205,14 +2205,14 @@
     pub request_id: RequestId,
     pub state: RequestState,
 }
-///Where to ask instead.
+///Address of the replica to ask instead.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Redirect {
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub router_address: ::std::option::Option<SocketAddress>,
 }
-///Header Grebepin-Refusal of a back end's answer: the request was not run.
+///Value of the header Grebepin-Refusal in a back end's response; the request was not run.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -2238,22 +2238,22 @@
     ///The server is leaving.
     #[serde(rename = "draining")]
     Draining,
-    ///The server has too much to do.
+    ///The server is overloaded.
     #[serde(rename = "shed")]
     Shed,
-    ///Too little time is left.
+    ///Too little time remains before the deadline.
     #[serde(rename = "deadline")]
     Deadline,
-    ///The request was cancelled before.
+    ///The request was cancelled earlier.
     #[serde(rename = "cancelled")]
     Cancelled,
-    ///The same request runs now.
+    ///The same request is already running.
     #[serde(rename = "already-running")]
     AlreadyRunning,
     ///A resend whose first attempt can't be looked up; it may have run earlier.
     #[serde(rename = "record-incomplete")]
     RecordIncomplete,
-    ///Headers are missing or wrong.
+    ///Headers are missing or invalid.
     #[serde(rename = "bad-request")]
     BadRequest,
 }
@@ -2313,28 +2313,28 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RegisterBoot {
-    ///Boot that the server's heartbeats tell.
+    ///Boot identifier reported in the server's heartbeats.
     pub boot: u64,
-    ///Boot recorded before; absent for none.
+    ///Boot identifier recorded before; absent if there is none.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub expected_boot: ::std::option::Option<u64>,
     pub server: ServerName,
 }
-///JSON body of an answer that the router gave by itself.
+///JSON body of a response that the router generated itself.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Reject {
     pub kind: RejectKind,
-    ///For people.
+    ///Message for human readers.
     pub message: ::std::string::String,
     pub outcome: Outcome,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub request_id: ::std::option::Option<RequestId>,
-    ///When to come back.
+    ///Time in ms after which the caller may retry.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub retry_after_ms: ::std::option::Option<u64>,
 }
-///Why a router answered by itself.
+///Reason why a router rejected a request itself.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -2348,37 +2348,37 @@
     PartialOrd
 )]
 pub enum RejectKind {
-    ///No Grebepin-Key header.
+    ///The header Grebepin-Key is missing.
     #[serde(rename = "missing-key")]
     MissingKey,
-    ///A header does not parse.
+    ///A header can't be parsed.
     #[serde(rename = "bad-header")]
     BadHeader,
-    ///No such service.
+    ///The service does not exist.
     #[serde(rename = "unknown-service")]
     UnknownService,
-    ///No class of the service fits.
+    ///No class of the service matches the request.
     #[serde(rename = "unknown-class")]
     UnknownClass,
     ///The body is over the limit.
     #[serde(rename = "body-too-large")]
     BodyTooLarge,
-    ///Too little time is left.
+    ///Too little time remains before the deadline.
     #[serde(rename = "deadline-too-near")]
     DeadlineTooNear,
-    ///The router has no table yet.
+    ///The router has no routing table yet.
     #[serde(rename = "no-table")]
     NoTable,
-    ///No server owns the key now.
+    ///No server currently owns the key.
     #[serde(rename = "no-owner")]
     NoOwner,
-    ///Too many requests wait.
+    ///Too many requests are waiting.
     #[serde(rename = "queue-full")]
     QueueFull,
-    ///The retry budget is spent.
+    ///The retry budget is exhausted.
     #[serde(rename = "retry-budget")]
     RetryBudget,
-    ///The owner refused.
+    ///The owner refused the request.
     #[serde(rename = "owner-refused")]
     OwnerRefused,
     ///The owner could not be reached.
@@ -2451,14 +2451,14 @@
         value.parse()
     }
 }
-///What became of each shard.
+///Response to a release request: the state of each shard.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ReleaseAnswer {
     pub busy: ::std::vec::Vec<BusyShard>,
     pub released: ::std::vec::Vec<HeldShard>,
 }
-///POST /grebepin/v1/release; asked again until every shard is released.
+///Body of POST /grebepin/v1/release; repeated until every shard is released.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ReleaseRequest {
@@ -2466,13 +2466,13 @@
     pub shards: ::std::vec::Vec<HeldShard>,
     pub term: Term,
 }
-///The removal is committed.
+///Response to a removal request; the removal is committed.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RemoveMemberAnswer {
     pub index: LogIndex,
 }
-///POST /v1/members/remove.
+///Body of POST /v1/members/remove.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RemoveMemberRequest {
@@ -2533,7 +2533,7 @@
         value.parse()
     }
 }
-///Role of a replica now.
+///Current role of a replica.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -2547,19 +2547,19 @@
     PartialOrd
 )]
 pub enum ReplicaRole {
-    ///Leads.
+    ///The replica is the leader.
     #[serde(rename = "leader")]
     Leader,
-    ///Follows.
+    ///The replica follows a leader.
     #[serde(rename = "follower")]
     Follower,
-    ///Stands for election.
+    ///The replica is a candidate in an election.
     #[serde(rename = "candidate")]
     Candidate,
-    ///Learns.
+    ///The replica receives the log and has no vote.
     #[serde(rename = "learner")]
     Learner,
-    ///Has no copy yet.
+    ///The replica has no copy of the log yet.
     #[serde(rename = "joining")]
     Joining,
 }
@@ -2605,24 +2605,24 @@
         value.parse()
     }
 }
-///How requests of one kind are treated.
+///Handling of one class of requests.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
-    ///Longest time in ms a caller may ask to wait.
+    ///Maximum deadline in ms that a caller may request.
     pub deadline_ms: ::std::num::NonZeroU64,
-    ///HTTP method; absent for any.
+    ///HTTP method; absent for any method.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub method: ::std::option::Option<::std::string::String>,
     pub name: ClassName,
-    ///Prefix of the path behind the service's name, such as /approve.
+    ///Prefix of the path after the service's name, such as /approve.
     pub path_prefix: ::std::string::String,
-    ///0 is served first.
+    ///Priority; requests with 0 are served first.
     pub priority: u32,
-    ///Whether running the request twice does no harm.
+    ///Whether the request is idempotent and may be run twice.
     pub repeatable: bool,
 }
-///A caller's identifier of one request, kept over its resends.
+///Identifier that a caller gives to one request; the same for all its attempts.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct RequestId(::std::string::String);
@@ -2678,7 +2678,7 @@
             })
     }
 }
-///What the owner knows of a request.
+///State of a request as recorded by the owner of its shard.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -2692,19 +2692,19 @@
     PartialOrd
 )]
 pub enum RequestState {
-    ///Not run, and a tombstone refuses it from now on.
+    ///The request did not run, and a tombstone refuses it from now on.
     #[serde(rename = "not-run")]
     NotRun,
-    ///Running now; its effect may still come.
+    ///The request is running; its effect may still take place.
     #[serde(rename = "running")]
     Running,
-    ///Its effect was made.
+    ///The effect of the request took place.
     #[serde(rename = "ran")]
     Ran,
-    ///Never seen, in a record that is whole.
+    ///The request was never received, according to a complete record.
     #[serde(rename = "unseen")]
     Unseen,
-    ///Not known: the record is not whole, or the server does not own the shard.
+    ///Not known, because the record is incomplete or the server does not own the shard.
     #[serde(rename = "unknown")]
     Unknown,
 }
@@ -2750,33 +2750,33 @@
         value.parse()
     }
 }
-///When a request may be sent again.
+///Limits on retries of requests.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RetryPolicy {
-    ///Most attempts of one request.
+    ///Maximum number of attempts of one request.
     pub attempts: ::std::num::NonZeroU32,
-    ///Retries allowed, in percent of first attempts.
+    ///Retry budget in percent of first attempts.
     pub budget_percent: u32,
 }
-///POST /v1/bundles.
+///Response to POST /v1/bundles.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RollAnswer {
     pub digest: Digest,
     pub index: LogIndex,
-    ///Whether this very bundle was accepted before.
+    ///Whether the same bundle had already been accepted.
     pub repeated: bool,
-    ///Version accepted.
+    ///Version of the accepted bundle.
     pub version: u64,
 }
 ///A frame from a router or relay.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum RouterFrame {
-    ///Asks for the table and all later changes.
+    ///Requests the routing table and all later changes.
     #[serde(rename = "follow")]
     Follow(FollowRequest),
-    ///Load as the router counted it.
+    ///Load measured by the router.
     #[serde(rename = "report")]
     Report(LoadReport),
 }
@@ -2790,32 +2790,32 @@
         Self::Report(value)
     }
 }
-///Bounds of one router.
+///Limits of one router.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RouterLimits {
-    ///Largest body of a request or an answer.
+    ///Maximum size of the body of a request or response.
     #[serde(default = "defaults::default_u64::<u64, 1048576>")]
     pub body_bytes: u64,
-    ///Connections of callers at once.
+    ///Maximum number of concurrent connections of callers.
     #[serde(default = "defaults::default_nzu64::<::std::num::NonZeroU32, 512>")]
     pub caller_connections: ::std::num::NonZeroU32,
-    ///Longest silence of a caller within a request.
+    ///Maximum time without data from a caller within a request.
     #[serde(default = "defaults::default_u64::<u64, 5000>")]
     pub caller_idle_ms: u64,
-    ///Longest time to connect to a back end.
+    ///Maximum time to connect to a back end.
     #[serde(default = "defaults::default_nzu64::<::std::num::NonZeroU64, 250>")]
     pub connect_timeout_ms: ::std::num::NonZeroU64,
-    ///Deadline of a request that states none.
+    ///Deadline of a request that does not state one.
     #[serde(default = "defaults::default_nzu64::<::std::num::NonZeroU64, 2000>")]
     pub default_deadline_ms: ::std::num::NonZeroU64,
-    ///Time that a stopping router gives its requests.
+    ///Time that a stopping router allows its requests to finish.
     #[serde(default = "defaults::default_u64::<u64, 5000>")]
     pub drain_ms: u64,
-    ///Between two load reports.
+    ///Interval between load reports.
     #[serde(default = "defaults::default_u64::<u64, 500>")]
     pub report_ms: u64,
-    ///Threads that serve callers.
+    ///Number of threads that serve callers.
     #[serde(default = "defaults::default_nzu64::<::std::num::NonZeroU32, 64>")]
     pub threads: ::std::num::NonZeroU32,
 }
@@ -2896,26 +2896,26 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RouterSettings {
-    ///Listens for metrics and probes.
+    ///Address on which requests for metrics and probes are accepted.
     pub admin_address: SocketAddress,
     ///Router addresses of the control replicas or relays.
     pub control_addresses: ::std::vec::Vec<SocketAddress>,
-    ///Group that is followed.
+    ///Control group whose routing table the router follows.
     #[serde(default)]
     pub group: u32,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub limits: ::std::option::Option<RouterLimits>,
-    ///Listens for callers.
+    ///Address on which connections of callers are accepted.
     pub listen_address: SocketAddress,
     pub name: RouterName,
     pub zone: ZoneName,
 }
-///A router as the leader sees it.
+///State of a router as known to the leader.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RouterStatus {
     pub in_force: LogIndex,
-    ///Time since its last report.
+    ///Time since the last report of the router.
     pub last_heard_ms: u64,
     pub router: RouterName,
     pub zone: ZoneName,
@@ -2925,28 +2925,28 @@
 #[serde(deny_unknown_fields)]
 pub struct Server {
     pub address: SocketAddress,
-    ///Connections it accepts from all routers together.
+    ///Maximum number of connections that it accepts from all routers together.
     pub connections: ::std::num::NonZeroU32,
     pub name: ServerName,
     pub side: SideName,
-    ///Requests it runs at once.
+    ///Maximum number of requests that the server runs concurrently.
     pub slots: ::std::num::NonZeroU32,
-    ///Share of its side's shards, relative to the side's other servers.
+    ///Share of the shards of its side, relative to the other servers of the side.
     #[serde(default = "defaults::default_nzu64::<::std::num::NonZeroU32, 100>")]
     pub weight: ::std::num::NonZeroU32,
     pub zone: ZoneName,
 }
-///Requests to one server over the interval.
+///Load of one server over the interval.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServerLoad {
     ///Sum of times in flight in microseconds.
     pub busy_us: u64,
-    ///Requests without a whole answer.
+    ///Number of requests without a complete response.
     pub failed: u64,
-    ///Requests refused by the server.
+    ///Number of requests refused by the server.
     pub refused: u64,
-    ///Requests sent.
+    ///Number of requests sent.
     pub sent: u64,
     pub server: ServerName,
 }
@@ -3006,11 +3006,11 @@
             })
     }
 }
-///What is kept of one server.
+///Stored state of one server.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServerRecord {
-    ///Boot recorded last.
+    ///Boot identifier recorded last.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub boot: ::std::option::Option<u64>,
     pub origin: StandingOrigin,
@@ -3027,7 +3027,7 @@
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub server: ::std::option::Option<ServerRecord>,
 }
-///What a server may be given.
+///Standing of a server: whether it may receive shards and requests.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -3044,10 +3044,10 @@
     ///May receive shards and requests.
     #[serde(rename = "active")]
     Active,
-    ///Keeps its requests in flight, receives nothing new.
+    ///Finishes its requests in flight and receives no new ones.
     #[serde(rename = "draining")]
     Draining,
-    ///Not in use.
+    ///The server is not in use.
     #[serde(rename = "gone")]
     Gone,
 }
@@ -3089,19 +3089,19 @@
         value.parse()
     }
 }
-///A server as the leader sees it.
+///State of a server as known to the leader.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServerStatus {
-    ///Shards it said it holds.
+    ///Number of shards that the server reported to hold.
     pub held: u32,
-    ///Time since its last answer.
+    ///Time since the last response of the server.
     pub last_heard_ms: u64,
-    ///Shortest time left of the lease given.
+    ///Minimum remaining time of the granted lease.
     pub lease_remaining_ms: u64,
     pub server: ServerName,
     pub service: ServiceName,
-    ///Shards it owns.
+    ///Number of shards that the server owns.
     pub shards: u32,
     pub side: SideName,
     pub standing: ServerStanding,
@@ -3112,16 +3112,16 @@
 #[serde(deny_unknown_fields)]
 pub struct Service {
     pub churn: ChurnPolicy,
-    ///Classes of requests; the first whose path prefix and method fit applies.
+    ///Classes of requests; the first one whose path prefix and method match applies.
     pub classes: ::std::vec::Vec<RequestClass>,
     pub name: ServiceName,
     pub queue: QueuePolicy,
     pub retry: RetryPolicy,
     ///Back ends that may own shards.
     pub servers: ::std::vec::Vec<Server>,
-    ///Count of shards; fixed for the life of the service.
+    ///Number of shards; can't change once the service exists.
     pub shards: ::std::num::NonZeroU32,
-    ///Sides of the migration and what each should carry.
+    ///Sides of the migration with their target shares.
     pub sides: ::std::vec::Vec<SideShare>,
 }
 ///Name of a service.
@@ -3180,21 +3180,21 @@
             })
     }
 }
-///Open-loop callers of one service.
+///Open-loop load on one service.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRate {
-    ///Network time of one direction between callers and routers, in ms.
+    ///One-way network delay between callers and routers in ms.
     #[serde(default = "defaults::service_rate_delay_ms")]
     pub delay_ms: f64,
-    ///Count of different keys.
+    ///Number of different keys.
     #[serde(default = "defaults::default_nzu64::<::std::num::NonZeroU64, 10000>")]
     pub keys: ::std::num::NonZeroU64,
-    ///Rate over all callers.
+    ///Request rate of all callers together.
     pub requests_per_second: ::std::num::NonZeroU64,
     pub service: ServiceName,
 }
-///What is kept of one service, besides its shards.
+///Stored state of one service, apart from its shards.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRecord {
@@ -3204,17 +3204,17 @@
     pub servers: ::std::vec::Vec<u32>,
     pub service: Service,
 }
-///Routing of one service.
+///Routing information of one service.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceTable {
-    ///One for each shard, in order.
+    ///One owner for each shard, in the order of the shard numbers.
     pub owners: ::std::vec::Vec<ShardOwner>,
     pub service: Service,
-    ///One for each server of the service, in the bundle's order.
+    ///One standing for each server of the service, in the order of the bundle.
     pub standings: ::std::vec::Vec<ServerStanding>,
 }
-///One unbroken run of a server's lease; a new one begins at each start and after each lapse.
+///Session of a server: a period without a lapse of its lease. A new session begins at each start and after each lapse.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -3277,7 +3277,7 @@
     pub server: ServerName,
     pub standing: ServerStanding,
 }
-///Number of a shard within its service, from 0.
+///Number of a shard within its service, starting at 0.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -3349,13 +3349,13 @@
     pub service: ServiceName,
     pub shard: ShardId,
 }
-///Requests to one shard over the interval.
+///Load of one shard over the interval.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ShardLoad {
     ///Sum of times in flight in microseconds.
     pub busy_us: u64,
-    ///Requests counted.
+    ///Number of requests.
     pub requests: u64,
     pub service: ServiceName,
     pub shard: ShardId,
@@ -3426,11 +3426,11 @@
             })
     }
 }
-///The share of a service's shards that one side should carry.
+///Target share of a service's shards for one side.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SideShare {
-    ///Share, relative to the other sides' shares.
+    ///Share relative to those of the other sides.
     pub share: u32,
     pub side: SideName,
 }
@@ -3505,7 +3505,7 @@
     pub bundle: Bundle,
     pub signatures: ::std::vec::Vec<Signature>,
 }
-///Where a snapshot stands in the log.
+///Position of a snapshot in the log.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotMeta {
@@ -3521,26 +3521,26 @@
     pub checksum: u32,
     pub chunk: crate::Bytes,
     pub meta: SnapshotMeta,
-    ///Bytes before this chunk.
+    ///Offset of this chunk in bytes.
     pub offset: u64,
     ///Number of the leader's heartbeat round.
     pub round: u64,
-    ///Bytes of the whole snapshot.
+    ///Size of the whole snapshot in bytes.
     pub total: u64,
 }
-///How far a snapshot has come.
+///Progress of a snapshot transfer.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotResponse {
     pub index: LogIndex,
-    ///Whether it is installed and synced.
+    ///Whether the snapshot is installed and synced to disk.
     pub installed: bool,
-    ///Bytes received so far; the next chunk's offset.
+    ///Number of bytes received so far, which is the offset of the next chunk.
     pub received: u64,
-    ///Round of the request answered.
+    ///Heartbeat round of the request.
     pub round: u64,
 }
-///An IP number and a port, such as 127.0.0.1:7000 or [::1]:7000; no host names.
+///An IP address and a port, such as 127.0.0.1:7000 or [::1]:7000; host names are not allowed.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct SocketAddress(::std::string::String);
@@ -3612,7 +3612,7 @@
     pub service: ServiceName,
     pub standing: ServerStanding,
 }
-///Whose wish a standing is.
+///Who requested a standing.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -3626,10 +3626,10 @@
     PartialOrd
 )]
 pub enum StandingOrigin {
-    ///The server's own, as its heartbeats tell.
+    ///The server itself, through its heartbeats.
     #[serde(rename = "server")]
     Server,
-    ///An operator's; the server is told.
+    ///An operator; the server is notified.
     #[serde(rename = "operator")]
     Operator,
 }
@@ -3669,14 +3669,14 @@
         value.parse()
     }
 }
-///GET /v1/status.
+///Response to GET /v1/status.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Status {
     pub applied: LogIndex,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub bundle_digest: ::std::option::Option<Digest>,
-    ///Version in force.
+    ///Version of the bundle in force.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub bundle_version: ::std::option::Option<u64>,
     pub commit: LogIndex,
@@ -3684,7 +3684,7 @@
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub leader: ::std::option::Option<ReplicaId>,
     pub members: ::std::vec::Vec<MemberStatus>,
-    ///Shards being handed over.
+    ///Number of shards being moved to another server.
     pub moving_shards: u32,
     pub replica: ReplicaId,
     pub role: ReplicaRole,
@@ -3692,11 +3692,11 @@
     pub servers: ::std::vec::Vec<ServerStatus>,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub slowest_router: ::std::option::Option<RouterStatus>,
-    ///Index of the last change of the table.
+    ///Log index of the last change of the routing table.
     pub table_index: LogIndex,
     pub term: Term,
     pub tolerated: ToleratedLosses,
-    ///Shards without an owner.
+    ///Number of shards without an owner.
     pub unowned_shards: u32,
 }
 ///A fault or an operator's action.
@@ -3707,7 +3707,7 @@
     pub at_ms: u64,
     pub fault: Fault,
 }
-///Who owns each shard.
+///Owners of all shards.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
@@ -3790,16 +3790,16 @@
         value.parse()
     }
 }
-///What may still be lost without losing the group's decisions.
+///Losses that the group can still tolerate without losing committed decisions.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ToleratedLosses {
-    ///Voters that may be lost now.
+    ///Number of voters that may be lost now.
     pub replicas: u32,
     ///Zones any one of which may be lost now.
     pub zones: ::std::vec::Vec<ZoneName>,
 }
-///An operator whose signature counts.
+///An operator whose signatures are accepted.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct TrustedOperator {
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,7 +1,8 @@
-//! Types of every message and settings file, generated from `schema/*.json`, the framing of the
-//! internal protocol, and the limits on sizes.
+//! Types of all messages and settings files, generated from `schema/*.json`, the framing of the internal
+//! protocol, and size limits.
 //!
-//! Invariant: decoding never panics and never allocates more than the limit that the caller states.
+//! Invariant: decoding never panics, and a frame longer than [`limits::MAXIMUM_FRAME_BYTES`] is rejected
+//! before memory is allocated for it.
 
 pub mod framing;
 pub mod hashing;
@@ -11,7 +12,7 @@
 
 pub use generated::*;
 
-/// Opaque bytes, encoded as one binary string by MessagePack.
+/// Opaque bytes, encoded as a single binary value in MessagePack.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
 pub struct Bytes(#[serde(with = "serde_bytes")] pub Vec<u8>);
