--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Exit code of a daemon whose settings file is invalid.
+/// Exit code of a daemon whose settings can't be read or are invalid.
 pub const SETTINGS_EXIT_CODE: i32 = 2;
 
 /// A settings file is invalid or can't be read.
