--- a/crates/telemetry/src/metrics/control.rs
+++ b/crates/telemetry/src/metrics/control.rs
@@ -4,12 +4,12 @@
 
 use super::{Metrics, MetricsError, SYNC_SECONDS_BUCKETS};
 
-/// What a control replica counts.
+/// Metrics that a control replica records.
 #[derive(Clone, Debug)]
 pub struct ControlMetrics {
     /// Current term.
     pub term: IntGauge,
-    /// 1 while this replica leads, else 0.
+    /// 1 while this replica is the leader, else 0.
     pub is_leader: IntGauge,
     /// Highest committed log index.
     pub commit_index: IntGauge,
@@ -19,15 +19,15 @@
     pub bundle_version: IntGauge,
     /// Shards without an owner.
     pub unowned_shards: IntGauge,
-    /// Shards being handed over.
+    /// Shards being moved to another server.
     pub moving_shards: IntGauge,
-    /// Elections this replica won.
+    /// Elections won by this replica.
     pub elections_won: IntCounter,
     /// Entries proposed by this replica.
     pub proposals: IntCounter,
     /// Requests to back ends, by `kind` and `result` (`answered` or `failed`).
     pub back_end_requests: IntCounterVec,
-    /// Time of each sync of the log in seconds.
+    /// Duration of each sync of the log in seconds.
     pub sync_seconds: Histogram,
     /// Routers that follow this replica.
     pub routers: IntGauge,
@@ -36,7 +36,10 @@
 }
 
 impl ControlMetrics {
-    /// Registers every metric of a control replica.
+    /// Registers all metrics of a control replica.
+    ///
+    /// # Errors
+    /// A name is already registered.
     pub fn register(metrics: &Metrics) -> Result<Self, MetricsError> {
         Ok(Self {
             term: metrics.gauge("control_term", "Current term")?,
