--- a/crates/admin-client/src/client.rs
+++ b/crates/admin-client/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the admin interface, and the search for the leader.
+//! Calls to the admin interface, and the search for the leader.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,24 +12,24 @@
 use serde::Serialize;
 
 use crate::error::ClientError;
-use crate::http::{agent, exchange, exchange_bytes, Call};
-use crate::search::{is_worth_another, Search, StatusSearch};
+use crate::http::{agent, request, request_bytes, Call};
+use crate::search::{is_retryable, LeaderSearch, StatusSearch};
 
-/// Pause before the replicas are asked once more, when none of them led.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause before the next pass over the addresses, when no replica in the last one was the leader.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How often all replicas are asked for their status before a follower's is taken.
-const STATUS_ROUNDS: u32 = 3;
+/// Passes over all replicas in search of the leader's status before a follower's is returned.
+const STATUS_PASSES: u32 = 3;
 
-/// Pause between two such rounds, about the time of an election.
+/// Pause between two such passes, about the duration of an election.
 const STATUS_PAUSE: Duration = Duration::from_millis(300);
 
-/// Times of an [`AdminClient`].
+/// Timeouts of an [`AdminClient`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientOptions {
-    /// Longest time of one exchange with one replica.
+    /// Timeout of one request to one replica, from connecting to the last byte of the response.
     pub timeout: Duration,
-    /// Longest time to look for a leader that answers.
+    /// How long a request that only the leader answers is retried; after this no further replica is tried.
     pub patience: Duration,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Asks the control replicas of one group.
+/// Sends requests to the control replicas of one group.
 #[derive(Clone, Debug)]
 pub struct AdminClient {
     addresses: Vec<SocketAddr>,
@@ -51,7 +51,7 @@
 }
 
 impl AdminClient {
-    /// A client of the replicas with these admin addresses; some of them suffice.
+    /// Creates a client for a group. `addresses` are replicas' admin addresses; they needn't be complete.
     pub fn new(addresses: Vec<SocketAddr>, options: ClientOptions) -> Self {
         let agent = agent(options.timeout);
         Self {
@@ -61,57 +61,57 @@
         }
     }
 
-    /// Admin addresses that are asked first.
+    /// Admin addresses that the client was created with.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Who one replica is.
+    /// Fetches one replica's identity: its number, zone, addresses, and whether it was founded.
     pub fn identity(&self, address: SocketAddr) -> Result<IdentityAnswer, ClientError> {
         self.get(address, "/v1/identity")
     }
 
-    /// Founds a group at one replica; send the same request to each founding replica.
+    /// Founds a group at one replica. The same request goes to each founding replica.
     pub fn found(&self, address: SocketAddr, request: &FoundRequest) -> Result<(), ClientError> {
         let call = Call::Post(request);
-        exchange_bytes(&self.agent, address, "/v1/found", &call)?;
+        request_bytes(&self.agent, address, "/v1/found", &call)?;
         Ok(())
     }
 
-    /// Hands in a signed bundle; the answer to a resend says `repeated`.
+    /// Submits a signed bundle. When the bundle was already accepted, the answer has `repeated` set.
     pub fn roll(&self, bundle: &SignedBundle) -> Result<RollAnswer, ClientError> {
-        self.ask_leader("/v1/bundles", &Call::Post(bundle))
+        self.send_to_leader("/v1/bundles", &Call::Post(bundle))
     }
 
-    /// The bundle in force; `None` before the first.
+    /// Fetches the bundle in force; `None` before the first one is accepted.
     pub fn bundle(&self) -> Result<Option<SignedBundle>, ClientError> {
-        match self.ask_leader::<(), _>("/v1/bundle", &Call::Get) {
+        match self.send_to_leader::<(), _>("/v1/bundle", &Call::Get) {
             Ok(bundle) => Ok(Some(bundle)),
             Err(error) if error.kind() == Some(ApiErrorKind::NotFound) => Ok(None),
             Err(error) => Err(error),
         }
     }
 
-    /// The routing table in force, from a linearizable read.
+    /// Fetches the routing table in force by a linearizable read.
     pub fn table(&self) -> Result<TableSnapshot, ClientError> {
-        self.ask_leader::<(), _>("/v1/table", &Call::Get)
+        self.send_to_leader::<(), _>("/v1/table", &Call::Get)
     }
 
-    /// Status as the leader sees it; the newest that another replica has when none leads.
+    /// Fetches the leader's status, or, when no leader is found, the newest status of any other replica.
     pub fn status(&self) -> Result<Status, ClientError> {
         if self.addresses.is_empty() {
             return Err(ClientError::NoAddresses);
         }
         let mut search = StatusSearch::default();
-        for round in 0..STATUS_ROUNDS {
-            if round > 0 {
+        for pass in 0..STATUS_PASSES {
+            if pass > 0 {
                 std::thread::sleep(STATUS_PAUSE);
             }
             for address in search.addresses(&self.addresses) {
                 match self.status_of(address) {
                     Ok(status) if status.role == ReplicaRole::Leader => return Ok(status),
-                    Ok(status) => search.found(status),
-                    Err(error) if is_worth_another(&error) => search.failed(address, &error),
+                    Ok(status) => search.record_status(status),
+                    Err(error) if is_retryable(&error) => search.record_failure(address, &error),
                     Err(error) => return Err(error),
                 }
             }
@@ -119,12 +119,12 @@
         search.into_result()
     }
 
-    /// Status as one replica sees it, leader or not.
+    /// Fetches the status that one replica reports, leader or not.
     pub fn status_of(&self, address: SocketAddr) -> Result<Status, ClientError> {
         self.get(address, "/v1/status")
     }
 
-    /// Drains a server, or brings it back.
+    /// Drains a server, or ends its drain.
     pub fn drain(
         &self,
         server: &ServerName,
@@ -134,28 +134,29 @@
             server: server.clone(),
             draining,
         };
-        self.ask_leader("/v1/drain", &Call::Post(&request))
+        self.send_to_leader("/v1/drain", &Call::Post(&request))
     }
 
-    /// Removes a member for good; its identity is never used again.
+    /// Removes a member permanently; its identity is never used again.
     pub fn remove_member(&self, replica: ReplicaId) -> Result<RemoveMemberAnswer, ClientError> {
         let request = RemoveMemberRequest { replica };
-        self.ask_leader("/v1/members/remove", &Call::Post(&request))
+        self.send_to_leader("/v1/members/remove", &Call::Post(&request))
     }
 
-    /// Metrics of one replica in Prometheus' text form.
+    /// Fetches the metrics of one replica in the Prometheus text format.
     pub fn metrics(&self, address: SocketAddr) -> Result<String, ClientError> {
         let call = Call::<()>::Get;
-        let (_, body) = exchange_bytes(&self.agent, address, "/metrics", &call)?;
+        let (_, body) = request_bytes(&self.agent, address, "/metrics", &call)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
     fn get<A: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Result<A, ClientError> {
-        exchange(&self.agent, address, path, &Call::<()>::Get)
+        request(&self.agent, address, path, &Call::<()>::Get)
     }
 
-    /// Asks one replica after another, the named leader first, until one answers as leader.
-    fn ask_leader<T: Serialize, A: DeserializeOwned>(
+    /// Tries one replica after another until the leader answers or the search time is over. When a
+    /// replica names the leader, that one is tried next.
+    fn send_to_leader<T: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         call: &Call<'_, T>,
@@ -164,18 +165,18 @@
             return Err(ClientError::NoAddresses);
         }
         let started = Instant::now();
-        let mut search = Search::new(&self.addresses);
+        let mut search = LeaderSearch::new(&self.addresses);
         loop {
             let address = search.next();
-            match exchange(&self.agent, address, path, call) {
-                Err(error) if is_worth_another(&error) => search.failed(address, &error),
+            match request(&self.agent, address, path, call) {
+                Err(error) if is_retryable(&error) => search.record_failure(address, &error),
                 result => return result,
             }
             if started.elapsed() >= self.options.patience {
                 return Err(search.into_error());
             }
-            if search.round_is_over() {
-                std::thread::sleep(PAUSE);
+            if search.pass_is_over() {
+                std::thread::sleep(RETRY_PAUSE);
             }
         }
     }
--- a/crates/admin-client/src/error.rs
+++ b/crates/admin-client/src/error.rs
@@ -1,55 +1,57 @@
-//! How a call to the admin interface fails.
+//! Errors of calls to the admin interface.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use grebepin_schema::{ApiError, ApiErrorKind};
 
-/// Why a call gave no answer.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No address to ask was given.
-    #[error("no control replica to ask; name one with --control")]
+    /// The client was created without an address.
+    #[error("no control replica address given; name one with --control")]
     NoAddresses,
-    /// The replica could not be reached, or the connection failed before the whole answer came.
+    /// The replica could not be reached, or the connection failed before the whole response was read.
     #[error("control replica {address} can't be reached: {source}")]
     Unreachable {
-        /// Replica asked.
+        /// Admin address of the replica.
         address: SocketAddr,
-        /// What went wrong.
+        /// Cause.
         source: Box<ureq::Error>,
     },
-    /// The answer is not of the expected form.
-    #[error("control replica {address} answered {status} in an unknown form: {reason}")]
+    /// The response body does not have the expected form.
+    #[error(
+        "control replica {address} returned HTTP status {status} with an unexpected body: {reason}"
+    )]
     Malformed {
-        /// Replica asked.
+        /// Admin address of the replica.
         address: SocketAddr,
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// What is wrong with the body.
+        /// Why the body could not be parsed.
         reason: String,
     },
-    /// The replica refused with a typed reason.
+    /// The replica refused the request with a typed reason.
     #[error("{}: {} (control replica {address})", error.kind, error.message)]
     Refused {
-        /// Replica asked.
+        /// Admin address of the replica.
         address: SocketAddr,
-        /// Its reason.
+        /// Error body of the response.
         error: Box<ApiError>,
     },
-    /// No replica answered as leader within the time.
+    /// No replica answered as leader within the search time.
     #[error("no control replica answered as leader:{}", describe(attempts))]
     NoLeader {
-        /// The last failure at each replica asked.
+        /// Last failure of each replica that was tried.
         attempts: Vec<Attempt>,
     },
-    /// The request can't be written as JSON.
-    #[error("request does not encode: {0}")]
+    /// The request could not be serialized as JSON.
+    #[error("request can't be serialized: {0}")]
     Encode(serde_json::Error),
 }
 
 impl ClientError {
-    /// The typed reason, when a replica refused with one.
+    /// The typed reason when a replica refused the request; `None` for every other error.
     pub fn kind(&self) -> Option<ApiErrorKind> {
         match self {
             Self::Refused { error, .. } => Some(error.kind),
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Whether the request may have reached the replica.
+    /// Whether the request may have reached the replica before the connection failed.
     fn may_have_arrived(source: &ureq::Error) -> bool {
         match source {
             ureq::Error::Io(error) => error.kind() != std::io::ErrorKind::ConnectionRefused,
@@ -67,26 +69,28 @@
         }
     }
 
-    /// Whether the request may have taken effect though no answer came.
+    /// Whether the request may have taken effect although it failed.
     pub fn outcome_is_unknown(&self) -> bool {
         match self {
             Self::Unreachable { source, .. } => Self::may_have_arrived(source),
             Self::Malformed { .. } => true,
             Self::Refused { error, .. } => error.kind == ApiErrorKind::LostLeadership,
-            Self::NoLeader { attempts } => attempts.iter().any(|one| one.outcome_is_unknown),
+            Self::NoLeader { attempts } => {
+                attempts.iter().any(|attempt| attempt.outcome_is_unknown)
+            }
             Self::NoAddresses | Self::Encode(_) => false,
         }
     }
 }
 
-/// How asking one replica failed.
+/// Failure of a request at one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Replica asked.
+    /// Admin address of the replica.
     pub address: SocketAddr,
-    /// What went wrong.
+    /// Error message.
     pub reason: String,
-    /// Whether the request may have taken effect there.
+    /// Whether this request, or an earlier one to the same replica, may have taken effect.
     pub outcome_is_unknown: bool,
 }
 
--- a/crates/admin-client/src/founding.rs
+++ b/crates/admin-client/src/founding.rs
@@ -1,8 +1,8 @@
-//! What a founding request is made of.
+//! Members of a founding request.
 
 use grebepin_schema::{IdentityAnswer, Member, MemberRole};
 
-/// The member that a replica becomes when it is one of those that found a group.
+/// The voting member that a replica becomes when it takes part in founding a group.
 pub fn founding_voter(identity: &IdentityAnswer) -> Member {
     Member {
         replica: identity.replica,
--- a/crates/admin-client/src/http.rs
+++ b/crates/admin-client/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with one replica.
+//! One HTTP request to one replica.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 use crate::error::ClientError;
 
-/// Largest answer that is read, in bytes.
-const MAXIMUM_ANSWER_BYTES: u64 = 64 << 20;
+/// Largest response body that is read, in bytes.
+const MAXIMUM_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Request method with its body.
+/// Request method with its body, which is sent as JSON.
 pub(crate) enum Call<'a, T> {
     Get,
     Post(&'a T),
@@ -28,13 +28,13 @@
         .into()
 }
 
-pub(crate) fn exchange<T: Serialize, A: DeserializeOwned>(
+pub(crate) fn request<T: Serialize, A: DeserializeOwned>(
     agent: &ureq::Agent,
     address: SocketAddr,
     path: &str,
     call: &Call<'_, T>,
 ) -> Result<A, ClientError> {
-    let (status, body) = exchange_bytes(agent, address, path, call)?;
+    let (status, body) = request_bytes(agent, address, path, call)?;
     serde_json::from_slice(&body).map_err(|error| ClientError::Malformed {
         address,
         status,
@@ -42,8 +42,8 @@
     })
 }
 
-/// Like [`exchange`] for an answer whose body doesn't matter or isn't JSON.
-pub(crate) fn exchange_bytes<T: Serialize>(
+/// Like [`request`], for a response whose body isn't needed or isn't JSON. Returns the status and body.
+pub(crate) fn request_bytes<T: Serialize>(
     agent: &ureq::Agent,
     address: SocketAddr,
     path: &str,
@@ -56,8 +56,8 @@
     let url = format!("http://{address}{path}");
     let response = match call {
         Call::Get => agent.get(&url).call(),
-        Call::Post(request) => {
-            let body = serde_json::to_vec(request).map_err(ClientError::Encode)?;
+        Call::Post(content) => {
+            let body = serde_json::to_vec(content).map_err(ClientError::Encode)?;
             agent
                 .post(&url)
                 .header("Content-Type", "application/json")
@@ -69,7 +69,7 @@
     let body = response
         .body_mut()
         .with_config()
-        .limit(MAXIMUM_ANSWER_BYTES)
+        .limit(MAXIMUM_RESPONSE_BYTES)
         .read_to_vec()
         .map_err(unreachable)?;
     if (200..300).contains(&status) {
--- a/crates/admin-client/src/lib.rs
+++ b/crates/admin-client/src/lib.rs
@@ -1,8 +1,7 @@
 //! Typed client of the control replicas' admin interface.
 //!
-//! Invariant: a call that only the leader answers is sent until one replica answers it as leader, or
-//! the time is over; each such call may be sent again without harm, so an answer that was lost costs
-//! nothing.
+//! Invariant: a request that only the leader answers is retried until a replica answers it as leader or
+//! the search time is over. Each such request is idempotent, so it is safe to retry after a lost answer.
 
 mod client;
 mod error;
--- a/crates/admin-client/src/search.rs
+++ b/crates/admin-client/src/search.rs
@@ -1,4 +1,4 @@
-//! Which replica is asked next, and what is known when none answers as leader.
+//! Chooses the replica to try next, and collects the failures for when none answers as leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,11 +7,12 @@
 
 use crate::error::{Attempt, ClientError};
 
-/// Replicas asked in a row because the one before named them; two that name each other end there.
+/// Longest chain of leader hints that is followed. It ends the loop between two replicas that name each
+/// other as leader.
 const MAXIMUM_HINTS: usize = 2;
 
-/// Whether another replica, or the same one later, may answer.
-pub(crate) fn is_worth_another(error: &ClientError) -> bool {
+/// Whether another replica, or the same one later, may answer the request.
+pub(crate) fn is_retryable(error: &ClientError) -> bool {
     match error {
         ClientError::Unreachable { .. } => true,
         ClientError::Refused { error, .. } => matches!(
@@ -22,7 +23,7 @@
     }
 }
 
-/// The newest status seen, and how the others failed.
+/// The newest status received so far, and the failures of the other replicas.
 #[derive(Default)]
 pub(crate) struct StatusSearch {
     newest: Option<Status>,
@@ -30,25 +31,25 @@
 }
 
 impl StatusSearch {
-    /// The addresses given, and those of all members that a replica told of.
+    /// The given addresses and the admin addresses of all members in the newest status.
     pub(crate) fn addresses(&self, given: &[SocketAddr]) -> BTreeSet<SocketAddr> {
         let members = self.newest.iter().flat_map(|status| &status.members);
-        let told = members.filter_map(|entry| entry.member.admin_address.parse().ok());
-        given.iter().copied().chain(told).collect()
+        let advertised = members.filter_map(|entry| entry.member.admin_address.parse().ok());
+        given.iter().copied().chain(advertised).collect()
     }
 
-    pub(crate) fn found(&mut self, status: Status) {
-        let age = |status: &Status| (status.term, status.commit);
+    pub(crate) fn record_status(&mut self, status: Status) {
+        let version = |status: &Status| (status.term, status.commit);
         if self
             .newest
             .as_ref()
-            .is_none_or(|newest| age(&status) > age(newest))
+            .is_none_or(|newest| version(&status) > version(newest))
         {
             self.newest = Some(status);
         }
     }
 
-    pub(crate) fn failed(&mut self, address: SocketAddr, error: &ClientError) {
+    pub(crate) fn record_failure(&mut self, address: SocketAddr, error: &ClientError) {
         let attempt = Attempt {
             address,
             reason: error.to_string(),
@@ -64,8 +65,8 @@
     }
 }
 
-/// Which replica is asked next.
-pub(crate) struct Search<'a> {
+/// Order in which replicas are tried: round robin, except that a leader hint is followed first.
+pub(crate) struct LeaderSearch<'a> {
     addresses: &'a [SocketAddr],
     position: usize,
     named_leader: Option<SocketAddr>,
@@ -73,7 +74,7 @@
     attempts: BTreeMap<SocketAddr, Attempt>,
 }
 
-impl<'a> Search<'a> {
+impl<'a> LeaderSearch<'a> {
     pub(crate) fn new(addresses: &'a [SocketAddr]) -> Self {
         Self {
             addresses,
@@ -95,9 +96,9 @@
         address
     }
 
-    pub(crate) fn failed(&mut self, address: SocketAddr, error: &ClientError) {
-        let before = self.attempts.get(&address);
-        let was_unknown = before.is_some_and(|attempt| attempt.outcome_is_unknown);
+    pub(crate) fn record_failure(&mut self, address: SocketAddr, error: &ClientError) {
+        let previous = self.attempts.get(&address);
+        let was_unknown = previous.is_some_and(|attempt| attempt.outcome_is_unknown);
         let attempt = Attempt {
             address,
             reason: error.to_string(),
@@ -112,7 +113,7 @@
         }
     }
 
-    pub(crate) fn round_is_over(&self) -> bool {
+    pub(crate) fn pass_is_over(&self) -> bool {
         self.named_leader.is_none() && self.position.is_multiple_of(self.addresses.len())
     }
 
--- a/crates/admin-client/tests/leader.rs
+++ b/crates/admin-client/tests/leader.rs
@@ -1,4 +1,4 @@
-//! The search for the leader, against small servers on loopback.
+//! Tests the search for the leader against HTTP servers on loopback that return prepared responses.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,10 +11,10 @@
 
 const ANSWER: &str = r#"{"index":9,"shards":4}"#;
 
-/// A replica that gives these answers in turn, the last one for ever.
+/// A replica that returns its answers in turn, and repeats the last one.
 struct Replica {
     address: SocketAddr,
-    asked: Arc<AtomicUsize>,
+    requests: Arc<AtomicUsize>,
     answers: Arc<Mutex<Vec<(u16, String)>>>,
 }
 
@@ -23,10 +23,10 @@
         .iter()
         .map(|(status, body)| (*status, body.to_string()));
     let answers: Arc<Mutex<Vec<_>>> = Arc::new(Mutex::new(answers.collect()));
-    let asked = Arc::new(AtomicUsize::new(0));
-    let (shared_answers, shared_asked) = (answers.clone(), asked.clone());
+    let requests = Arc::new(AtomicUsize::new(0));
+    let (shared_answers, shared_requests) = (answers.clone(), requests.clone());
     let server = rouille::Server::new("127.0.0.1:0", move |_| {
-        let position = shared_asked.fetch_add(1, Ordering::SeqCst);
+        let position = shared_requests.fetch_add(1, Ordering::SeqCst);
         let answers = shared_answers.lock().expect("not poisoned");
         let (status, body) = answers[position.min(answers.len() - 1)].clone();
         rouille::Response::from_data("application/json", body).with_status_code(status)
@@ -36,7 +36,7 @@
     std::thread::spawn(move || server.run());
     Replica {
         address,
-        asked,
+        requests,
         answers,
     }
 }
@@ -107,7 +107,7 @@
     ]);
     let client = client(vec![late.address], Duration::from_secs(30));
     assert_eq!(drain(&client).expect("answers at last"), 4);
-    assert_eq!(late.asked.load(Ordering::SeqCst), 3);
+    assert_eq!(late.requests.load(Ordering::SeqCst), 3);
 }
 
 #[test]
@@ -123,7 +123,7 @@
         let error = drain(&client).expect_err(text);
         assert_eq!(error.kind(), Some(kind));
         assert!(!error.outcome_is_unknown());
-        assert_eq!(replica.asked.load(Ordering::SeqCst), 1);
+        assert_eq!(replica.requests.load(Ordering::SeqCst), 1);
     }
 }
 
@@ -172,13 +172,13 @@
     let follower = replica(&[status(2, "follower", 3, &[leader.address])]);
     let stale = replica(&[status(3, "follower", 2, &[])]);
     let cases = [
-        ("told of by a follower", vec![follower.address], 1),
+        ("advertised by a follower", vec![follower.address], 1),
         (
             "among the addresses",
             vec![stale.address, dead_address(), leader.address],
             1,
         ),
-        ("nowhere", vec![stale.address, dead_address()], 3),
+        ("no leader", vec![stale.address, dead_address()], 3),
     ];
     for (case, addresses, expected) in cases {
         let status = client(addresses, Duration::ZERO).status().expect(case);
