--- a/crates/admin-client/src/client.rs
+++ b/crates/admin-client/src/client.rs
@@ -30,14 +30,14 @@
     /// Timeout of one request to one replica, from connecting to the last byte of the response.
     pub timeout: Duration,
     /// How long a request that only the leader answers is retried; after this no further replica is tried.
-    pub patience: Duration,
+    pub leader_search_timeout: Duration,
 }
 
 impl Default for ClientOptions {
     fn default() -> Self {
         Self {
             timeout: Duration::from_secs(2),
-            patience: Duration::from_secs(5),
+            leader_search_timeout: Duration::from_secs(5),
         }
     }
 }
@@ -172,7 +172,7 @@
                 Err(error) if is_retryable(&error) => search.record_failure(address, &error),
                 result => return result,
             }
-            if started.elapsed() >= self.options.patience {
+            if started.elapsed() >= self.options.leader_search_timeout {
                 return Err(search.into_error());
             }
             if search.pass_is_over() {
--- a/crates/admin-client/tests/leader.rs
+++ b/crates/admin-client/tests/leader.rs
@@ -53,9 +53,15 @@
     (200, serde_json::from_str(ANSWER).expect("JSON"))
 }
 
-fn client(addresses: Vec<SocketAddr>, patience: Duration) -> AdminClient {
+fn client(addresses: Vec<SocketAddr>, leader_search_timeout: Duration) -> AdminClient {
     let timeout = Duration::from_secs(10);
-    AdminClient::new(addresses, ClientOptions { timeout, patience })
+    AdminClient::new(
+        addresses,
+        ClientOptions {
+            timeout,
+            leader_search_timeout,
+        },
+    )
 }
 
 fn drain(client: &AdminClient) -> Result<u32, ClientError> {
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -10,7 +10,7 @@
     pub(crate) fn client(&self) -> AdminClient {
         let options = ClientOptions {
             timeout: Duration::from_millis(self.timeout_ms),
-            patience: Duration::from_millis(self.patience_ms),
+            leader_search_timeout: Duration::from_millis(self.patience_ms),
         };
         AdminClient::new(self.control.clone(), options)
     }
--- a/crates/control/examples/failover.rs
+++ b/crates/control/examples/failover.rs
@@ -233,7 +233,7 @@
 fn client(replica: &Replica) -> AdminClient {
     let options = ClientOptions {
         timeout: Duration::from_secs(2),
-        patience: Duration::ZERO,
+        leader_search_timeout: Duration::ZERO,
     };
     AdminClient::new(vec![replica.admin], options)
 }
--- a/crates/control/tests/support/group.rs
+++ b/crates/control/tests/support/group.rs
@@ -65,7 +65,7 @@
         let addresses = self.settings.iter().map(|settings| settings.admin_address);
         let options = ClientOptions {
             timeout: REQUEST_TIMEOUT,
-            patience: PATIENCE,
+            leader_search_timeout: PATIENCE,
         };
         AdminClient::new(addresses.collect(), options)
     }
