--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands that run a fleet.
+//! Subcommands that run a fleet of processes.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 use crate::fleet::FleetError;
 use crate::report::{render_html, render_text, ReportError, RunReport};
 
-/// Flags of a fleet's run.
+/// Flags of `grebepin-bench fleet`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct FleetArguments {
     /// Folder of the deployment: settings, bundles and trial keys.
@@ -17,42 +17,42 @@
     /// File with the load and the faults.
     #[arg(long, default_value = "experiments/recife.toml")]
     pub experiment: PathBuf,
-    /// Folder for settings, logs, records and the report; emptied first.
+    /// Folder for settings, logs, histories and the report; an existing one is emptied first.
     #[arg(long, default_value = "target/fleet")]
     pub folder: PathBuf,
-    /// Mean time of one request at a back end, in ms.
+    /// Mean service time of a request at a back end, in ms.
     #[arg(long, default_value_t = 5.0)]
     pub service_ms: f64,
-    /// Network time of one direction between zones, in ms.
+    /// One-way network delay between zones, in ms.
     #[arg(long, default_value_t = 0.5)]
     pub delay_ms: f64,
-    /// Time of a new connection, in ms.
+    /// Time to establish a connection, in ms.
     #[arg(long, default_value_t = 1.0)]
     pub connect_ms: f64,
-    /// Time of a probe, in ms.
+    /// Duration of a probe, in ms.
     #[arg(long, default_value_t = 6.0)]
     pub probe_ms: f64,
-    /// Lease of the back ends in ms, in place of the deployment's.
+    /// Lease duration of the back ends in ms; overrides the deployment's settings.
     #[arg(long)]
     pub server_lease_ms: Option<u64>,
-    /// Election timeout of the control replicas in ms, in place of the deployment's; a fifth of it
-    /// is the time between their heartbeats.
+    /// Election timeout of the control replicas in ms; overrides the deployment's settings, and sets
+    /// the interval between the replicas' heartbeats to a fifth of it.
     #[arg(long)]
     pub election_timeout_ms: Option<u64>,
-    /// Time between heartbeats of a back end in ms, in place of the deployment's.
+    /// Interval between heartbeats of a back end in ms; overrides the deployment's settings.
     #[arg(long)]
     pub server_heartbeat_ms: Option<u64>,
 }
 
-/// Flags of the demonstration.
+/// Flags of `grebepin-bench demo`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct DemoArguments {
-    /// Folder for settings, logs, records and the report; emptied first.
+    /// Folder for settings, logs, histories and the report; an existing one is emptied first.
     #[arg(long, default_value = "target/demo")]
     pub folder: PathBuf,
 }
 
-/// Why a fleet's subcommand failed.
+/// Why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The fleet could not be run.
@@ -61,17 +61,18 @@
     /// The report could not be written.
     #[error(transparent)]
     Report(#[from] ReportError),
-    /// The run broke promises.
+    /// The run violated promises of the system.
     #[error("{count} promises broken; the report is in {folder}")]
     Broken {
-        /// Violations found.
+        /// Number of violations.
         count: usize,
         /// Folder of the report.
         folder: PathBuf,
     },
 }
 
-/// Runs a fleet, prints its report and writes it as `report.json` and `report.html`.
+/// Runs a fleet, prints its report and writes it to `report.json` and `report.html` in the run's folder.
+/// A run with violations is an error, after its report was written.
 pub fn fleet(arguments: &FleetArguments) -> Result<(), CommandError> {
     let plan = RunPlan {
         deployment: arguments.deployment.clone(),
@@ -101,7 +102,7 @@
     }
 }
 
-/// Runs the demonstration: one deployment, the loss of an owner, a second bundle.
+/// Runs the demonstration: a small deployment that loses an owner and then gets a second bundle.
 pub fn demo(arguments: &DemoArguments) -> Result<(), CommandError> {
     fleet(&FleetArguments {
         deployment: PathBuf::from("deployments/recife"),
--- a/crates/bench/src/fleet/callers.rs
+++ b/crates/bench/src/fleet/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of a fleet: one process for each loaded service.
+//! Load generators (callers) of a fleet: one process for each service in the experiment's load.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -10,15 +10,16 @@
 use super::plans::history_file;
 use super::process::{Process, ProcessPlan};
 
-/// Callers of one service at once; more requests start late, which the callers' summary counts.
-const THREADS: usize = 192;
+/// Concurrent requests of one service's callers. Requests beyond these start late, which the callers'
+/// summary counts.
+const CALLER_THREADS: usize = 192;
 
-/// Name of the callers' process of a service.
+/// Name of the process that sends a service's load; also names its log, history and summary files.
 pub fn process_name(rate: &ServiceRate) -> String {
     format!("callers-{}", rate.service.as_str())
 }
 
-/// Starts the callers of every loaded service of the experiment.
+/// Starts the callers of every service in the experiment's load.
 pub fn start(fleet: &Fleet, experiment: &Experiment) -> Result<Vec<Process>, FleetError> {
     let started = experiment.load.iter().enumerate();
     started
@@ -50,7 +51,7 @@
     flag("seed", (number + 1).to_string());
     flag("keys", rate.keys.to_string());
     flag("delay-ms", rate.delay_ms.to_string());
-    flag("threads", THREADS.to_string());
+    flag("threads", CALLER_THREADS.to_string());
     flag("id-prefix", service.name.to_string());
     let file = |name: PathBuf| fleet.folder().join(name).display().to_string();
     flag("history", file(history_file(&name)));
--- a/crates/bench/src/fleet/cluster.rs
+++ b/crates/bench/src/fleet/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet, and what an operator does with them.
+//! The processes of a fleet, and the operator actions on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -15,53 +15,53 @@
 use super::deployment::Deployment;
 use super::error::FleetError;
 use super::layout::Layout;
-use super::link::Cuts;
-use super::plans::{self, socket_address, BackEndTimes, Kind, Member};
+use super::plans::{self, socket_address, BackEndTimes, Kind, PlannedProcess};
 use super::process::Process;
+use super::relay::Cuts;
 
-/// History file of the runner itself: faults and operators' actions.
+/// Name of the runner's own history, which holds faults and operator actions.
 pub const RUNNER: &str = "runner";
 
-const POLL: Duration = Duration::from_millis(50);
-const START_PATIENCE: Duration = Duration::from_secs(20);
-const STOP_PATIENCE: Duration = Duration::from_secs(20);
-const CLUSTER: &str = "00000000000000000000000000000001";
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
+const CLUSTER_ID: &str = "00000000000000000000000000000001";
 
 /// A fleet of processes.
 pub struct Fleet {
-    /// What it was started from.
+    /// Settings and bundles that the fleet was started from.
     pub deployment: Deployment,
     layout: Layout,
-    members: BTreeMap<String, Member>,
+    planned: BTreeMap<String, PlannedProcess>,
     running: BTreeMap<String, Process>,
     cuts: BTreeMap<String, Arc<Cuts>>,
     history: HistoryWriter,
 }
 
 impl Fleet {
-    /// Starts every process of the deployment, founds its control group and rolls its first bundle.
-    /// Back ends named in `linked` can be cut off later.
+    /// Starts every process of the deployment and founds its control group; no bundle is rolled yet.
+    /// Back ends named in `relayed` get a relay in front, so that their traffic can be cut.
     pub fn start(
         folder: &Path,
         deployment: Deployment,
         times: BackEndTimes,
-        linked: &BTreeSet<String>,
+        relayed: &BTreeSet<String>,
     ) -> Result<Self, FleetError> {
         let layout = Layout::create(folder)?;
         layout.create_folder(plans::HISTORIES)?;
-        let mut members = plans::daemons(&layout, &deployment)?;
-        let back_ends = plans::back_ends(&layout, &deployment, times, linked)?;
-        members.extend(back_ends.members);
+        let mut planned = plans::daemons(&layout, &deployment)?;
+        let back_ends = plans::back_ends(&layout, &deployment, times, relayed)?;
+        planned.extend(back_ends.processes);
         let history = layout.folder().join(plans::history_file(RUNNER));
         let mut fleet = Self {
             deployment,
             layout,
-            members,
+            planned,
             running: BTreeMap::new(),
             cuts: back_ends.cuts,
             history: HistoryWriter::open(Some(&history)).map_err(FleetError::Record)?,
         };
-        let names: Vec<String> = fleet.members.keys().cloned().collect();
+        let names: Vec<String> = fleet.planned.keys().cloned().collect();
         for name in names {
             fleet.launch(&name)?;
         }
@@ -69,7 +69,7 @@
         Ok(fleet)
     }
 
-    /// Folder of settings, logs and histories.
+    /// Folder with the settings, logs and histories of the run.
     pub fn folder(&self) -> &Path {
         self.layout.folder()
     }
@@ -77,93 +77,96 @@
     /// Names of the processes of one kind.
     pub fn names(&self, kind: Kind) -> Vec<String> {
         let of_kind = self
-            .members
+            .planned
             .iter()
-            .filter(|(_, member)| member.kind == kind);
+            .filter(|(_, process)| process.kind == kind);
         of_kind.map(|(name, _)| name.clone()).collect()
     }
 
     /// Kind of a process.
     pub fn kind(&self, name: &str) -> Result<Kind, FleetError> {
-        let member = self.members.get(name);
-        member
-            .map(|member| member.kind)
-            .ok_or_else(|| self.unknown(name))
+        let planned = self.planned.get(name);
+        planned
+            .map(|process| process.kind)
+            .ok_or_else(|| self.unknown_process(name))
     }
 
-    /// A process that was started.
+    /// A process that was started, running or not.
     pub fn process(&mut self, name: &str) -> Result<&mut Process, FleetError> {
         if !self.running.contains_key(name) {
-            return Err(self.unknown(name));
+            return Err(self.unknown_process(name));
         }
-        Ok(self.running.get_mut(name).expect("it was just found"))
+        Ok(self.running.get_mut(name).expect("checked above"))
     }
 
-    /// Cuts in front of a back end.
+    /// Traffic cuts of a back end; an error when it has no relay in front.
     pub fn cuts(&self, name: &str) -> Result<&Cuts, FleetError> {
         let cuts = self.cuts.get(name).map(Arc::as_ref);
-        cuts.ok_or_else(|| self.unknown(name))
+        cuts.ok_or_else(|| self.unknown_process(name))
     }
 
-    /// Starts a process that isn't running.
+    /// Starts a process. A process that still runs under this name is killed afterwards.
     pub fn launch(&mut self, name: &str) -> Result<(), FleetError> {
-        let member = self.members.get(name).ok_or_else(|| self.unknown(name))?;
-        let process = Process::start(member.plan.clone())?;
+        let planned = self
+            .planned
+            .get(name)
+            .ok_or_else(|| self.unknown_process(name))?;
+        let process = Process::start(planned.plan.clone())?;
         self.running.insert(name.to_string(), process);
         Ok(())
     }
 
-    /// Whether a process was started and neither killed nor stopped since.
+    /// Whether a process that was started has not exited since.
     pub fn is_running(&mut self, name: &str) -> Result<bool, FleetError> {
         Ok(self.process(name)?.is_running()?)
     }
 
-    /// Kills a process.
+    /// Kills a process (SIGKILL) and waits for its exit.
     pub fn kill(&mut self, name: &str) -> Result<(), FleetError> {
         Ok(self.process(name)?.kill()?)
     }
 
-    /// Stops a process as planned and waits for its end.
+    /// Shuts a process down (SIGTERM) and waits for its exit.
     pub fn stop(&mut self, name: &str) -> Result<(), FleetError> {
-        Ok(self.process(name)?.stop(STOP_PATIENCE)?)
+        Ok(self.process(name)?.stop(STOP_TIMEOUT)?)
     }
 
-    /// Empties the data folder of a control replica that was killed.
+    /// Deletes the data folder of a control replica, which must not be running.
     pub fn empty_data_folder(&self, name: &str) -> Result<(), FleetError> {
         let path = self.folder().join(name);
         std::fs::remove_dir_all(&path)
             .map_err(|source| super::LayoutError::Write { path, source }.into())
     }
 
-    /// Records what the runner did or saw.
+    /// Appends an event to the runner's history.
     pub fn record(&self, event: HistoryEvent) -> Result<(), FleetError> {
         let recorded = self.history.record(Instant::now(), event);
         recorded.map_err(FleetError::Record)
     }
 
-    /// A client of all control replicas.
+    /// Creates an admin client for all control replicas.
     pub fn client(&self) -> AdminClient {
         let addresses = self.deployment.controls.values();
         let addresses = addresses.map(|settings| socket_address(&settings.admin_address));
         AdminClient::new(addresses.collect(), ClientOptions::default())
     }
 
-    /// Name of the control replica that leads.
+    /// Process name of the control replica that is the leader.
     pub fn leader(&self) -> Result<String, FleetError> {
         let status = self.client().status()?;
         let leader = status
             .members
             .iter()
-            .find(|known| Some(known.member.replica) == status.leader);
-        let address = leader.map(|known| &known.member.admin_address);
+            .find(|entry| Some(entry.member.replica) == status.leader);
+        let address = leader.map(|entry| &entry.member.admin_address);
         let mut controls = self.deployment.controls.iter();
         let found = controls.find(|(_, settings)| Some(&settings.admin_address) == address);
         found
             .map(|(name, _)| name.clone())
-            .ok_or_else(|| self.unknown("leader"))
+            .ok_or_else(|| self.unknown_process("leader"))
     }
 
-    /// Rolls the deployment's bundle of this version over the one in force.
+    /// Rolls the deployment's bundle of this version, as the successor of the one in force.
     pub fn roll(&self, version: u64) -> Result<RollAnswer, FleetError> {
         let signed = self.prepare(version)?;
         let answer = self.client().roll(&signed)?;
@@ -178,7 +181,7 @@
         signed.ok_or(FleetError::UnknownBundle { version })
     }
 
-    /// Records that a bundle was accepted.
+    /// Appends the acceptance of a bundle to the runner's history.
     pub fn record_accepted(&self, answer: &RollAnswer) -> Result<(), FleetError> {
         self.record(HistoryEvent::Accepted(BundleRecord {
             version: answer.version,
@@ -187,27 +190,28 @@
         }))
     }
 
-    /// Waits until `ready` says so.
+    /// Polls `ready` until it returns true; fails after 20 s. `what` names the condition in the
+    /// error.
     pub fn wait_until(
         &self,
         what: &str,
         mut ready: impl FnMut() -> bool,
     ) -> Result<(), FleetError> {
         let started = Instant::now();
-        while started.elapsed() < START_PATIENCE {
+        while started.elapsed() < READY_TIMEOUT {
             if ready() {
                 return Ok(());
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Err(FleetError::NotReady {
             what: what.to_string(),
-            seconds: START_PATIENCE.as_secs(),
+            seconds: READY_TIMEOUT.as_secs(),
             folder: self.folder().to_path_buf(),
         })
     }
 
-    /// Waits until every shard has an owner that holds it, and every router the newest table.
+    /// Waits until every shard is held by its owner and every router has the newest table in force.
     pub fn wait_for_owners(&self) -> Result<(), FleetError> {
         let client = self.client();
         let routers = self.deployment.routers.len();
@@ -238,13 +242,13 @@
 
     fn found_request(&self, replicas: &[IdentityAnswer]) -> FoundRequest {
         FoundRequest {
-            cluster: CLUSTER.parse().expect("32 hexadecimal digits"),
+            cluster: CLUSTER_ID.parse().expect("32 hexadecimal digits"),
             members: replicas.iter().map(founding_voter).collect(),
         }
     }
 
-    fn unknown(&self, name: &str) -> FleetError {
-        let known: Vec<&str> = self.members.keys().map(String::as_str).collect();
+    fn unknown_process(&self, name: &str) -> FleetError {
+        let known: Vec<&str> = self.planned.keys().map(String::as_str).collect();
         FleetError::UnknownProcess {
             name: name.to_string(),
             known: known.join(", "),
--- a/crates/bench/src/fleet/deployment.rs
+++ b/crates/bench/src/fleet/deployment.rs
@@ -1,7 +1,7 @@
-//! A deployment's folder, moved to free ports of loopback.
+//! Loads a deployment's folder and replaces its addresses by free ports on loopback.
 //!
-//! Invariant: every address of the folder's files is replaced by the same free address everywhere, so
-//! two fleets of one deployment can run side by side.
+//! Invariant: an address is replaced by the same free address in every file, so that the files still
+//! refer to each other and several fleets of one deployment can run at the same time.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 const HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 5;
 const KEYS_FOLDER: &str = "trial-keys";
 
-/// Why a deployment's folder could not be used.
+/// Why a deployment's folder could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
     /// A file or folder could not be read.
@@ -31,7 +31,7 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// A settings file does not fit the schema.
+    /// A settings file does not match the schema.
     #[error("{path}: {source}")]
     Settings {
         /// File.
@@ -39,7 +39,7 @@
         /// Cause.
         source: toml::de::Error,
     },
-    /// A bundle does not fit the schema.
+    /// A bundle does not match the schema.
     #[error("{path}: {source}")]
     Bundle {
         /// File.
@@ -47,7 +47,7 @@
         /// Cause.
         source: serde_json::Error,
     },
-    /// A signing key can't be read.
+    /// A signing key can't be parsed.
     #[error("{path}: {source}")]
     Key {
         /// File.
@@ -55,37 +55,38 @@
         /// Cause.
         source: KeyError,
     },
-    /// A file's name gives no valid operator.
-    #[error("{path}: the file's name is no operator's name")]
+    /// The stem of a key file's name is not a valid operator name.
+    #[error("{path}: the file name is not a valid operator name")]
     OperatorName {
         /// File.
         path: PathBuf,
     },
-    /// The folder lacks a kind of file.
+    /// The folder has no file of a required kind.
     #[error("{folder}: no file {prefix}*")]
     Missing {
         /// Folder.
         folder: PathBuf,
-        /// How the file's name begins.
+        /// Prefix of the file names.
         prefix: &'static str,
     },
-    /// The ports or files of the fleet could not be had.
+    /// Too few ports are free, or a file could not be written.
     #[error(transparent)]
     Layout(#[from] LayoutError),
 }
 
-/// Times of the back ends' leases, where they differ from the deployment's.
+/// Overrides of the lease and election times in the control replicas' settings; `None` keeps the
+/// deployment's value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeaseTimes {
-    /// Length of a lease, in ms.
+    /// Duration of a back end's lease, in ms.
     pub lease_ms: Option<u64>,
-    /// Time between heartbeats, in ms.
+    /// Interval between heartbeats of a back end, in ms.
     pub heartbeat_ms: Option<u64>,
-    /// Election timeout of the control replicas, in ms.
+    /// Election timeout of the control replicas, in ms; also sets their heartbeat interval to a fifth of it.
     pub election_timeout_ms: Option<u64>,
 }
 
-/// Everything a fleet of one deployment starts from.
+/// Settings, bundles and signing keys of one deployment.
 pub struct Deployment {
     /// Settings of the control replicas, by process name.
     pub controls: BTreeMap<String, ControlSettings>,
@@ -105,11 +106,12 @@
             bundles: read_bundles(folder)?,
             keys: read_keys(&folder.join(KEYS_FOLDER))?,
         };
-        deployment.move_to_free_ports()?;
+        deployment.assign_free_ports()?;
         Ok(deployment)
     }
 
-    /// Puts other times of leases into the settings of every control replica.
+    /// Applies overrides to every control replica's settings; settings without a `timing` table are left
+    /// unchanged.
     pub fn set_leases(&mut self, times: LeaseTimes) {
         for settings in self.controls.values_mut() {
             let Some(timing) = &mut settings.timing else {
@@ -128,7 +130,8 @@
         }
     }
 
-    /// The bundle of this version with the given parent, signed by every operator.
+    /// The bundle of this version with the given parent, signed by every operator; `None` when the
+    /// deployment has no such version.
     pub fn signed(&self, version: u64, parent: Option<Digest>) -> Option<SignedBundle> {
         let found = self.bundles.iter().find(|bundle| bundle.version == version);
         let mut bundle = found?.clone();
@@ -136,7 +139,7 @@
         Some(self.sign(bundle))
     }
 
-    /// Signs a bundle by every operator.
+    /// Signs a bundle with the key of every operator.
     pub fn sign(&self, bundle: Bundle) -> SignedBundle {
         let sign_one = |(name, key): &(OperatorName, SigningKey)| sign(&bundle, name, key);
         SignedBundle {
@@ -145,24 +148,24 @@
         }
     }
 
-    fn move_to_free_ports(&mut self) -> Result<(), LayoutError> {
-        let mut moved: BTreeMap<SocketAddress, SocketAddress> = BTreeMap::new();
-        self.each_address(&mut |address| {
-            moved.insert(address.clone(), address.clone());
+    fn assign_free_ports(&mut self) -> Result<(), LayoutError> {
+        let mut replacements: BTreeMap<SocketAddress, SocketAddress> = BTreeMap::new();
+        self.visit_addresses(&mut |address| {
+            replacements.insert(address.clone(), address.clone());
         });
-        let free = Layout::free_addresses(moved.len())?;
-        for (address, replacement) in moved.values_mut().zip(free) {
+        let free = Layout::free_addresses(replacements.len())?;
+        for (address, replacement) in replacements.values_mut().zip(free) {
             *address = replacement;
         }
-        self.each_address(&mut |address| {
-            if let Some(replacement) = moved.get(address) {
+        self.visit_addresses(&mut |address| {
+            if let Some(replacement) = replacements.get(address) {
                 *address = replacement.clone();
             }
         });
         Ok(())
     }
 
-    fn each_address(&mut self, visit: &mut dyn FnMut(&mut SocketAddress)) {
+    fn visit_addresses(&mut self, visit: &mut dyn FnMut(&mut SocketAddress)) {
         for settings in self.controls.values_mut() {
             visit(&mut settings.peer_address);
             visit(&mut settings.router_address);
--- a/crates/bench/src/fleet/error.rs
+++ b/crates/bench/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Why a fleet could not be run.
+//! Errors of running a fleet.
 
 use std::path::PathBuf;
 
@@ -12,20 +12,20 @@
 /// Why a fleet could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The deployment's folder is unusable.
+    /// The deployment's folder could not be loaded.
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
-    /// Files or ports could not be had.
+    /// A file could not be written, or too few ports are free.
     #[error(transparent)]
     Layout(#[from] LayoutError),
     /// A process could not be started or signalled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The control group refused or could not be reached.
+    /// The control group refused a request or could not be reached.
     #[error(transparent)]
     Control(#[from] ClientError),
-    /// A settings file could not be written as TOML.
-    #[error("settings of {name} can't be written: {source}")]
+    /// Settings could not be serialized as TOML.
+    #[error("settings of {name} can't be serialized: {source}")]
     Settings {
         /// Process.
         name: String,
@@ -40,7 +40,7 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The experiment's file does not fit the schema.
+    /// The experiment's file does not match the schema.
     #[error("{path}: {source}")]
     Experiment {
         /// File.
@@ -48,18 +48,18 @@
         /// Cause.
         source: toml::de::Error,
     },
-    /// A step names a process that the deployment does not have.
+    /// A process name that the deployment does not have.
     #[error("no process is named {name}; known: {known}")]
     UnknownProcess {
-        /// Name in the step.
+        /// The unknown name.
         name: String,
-        /// Names of the fleet.
+        /// Names that the deployment has, separated by commas.
         known: String,
     },
     /// A step names a bundle that the deployment does not have.
     #[error("the deployment has no bundle of version {version}")]
     UnknownBundle {
-        /// Version in the step.
+        /// The missing version.
         version: u64,
     },
     /// A load names a service that the first bundle does not have.
@@ -68,20 +68,20 @@
         /// Service in the load.
         service: String,
     },
-    /// The fleet did not become ready.
+    /// A condition of the fleet was not met in time.
     #[error("{what} was not ready within {seconds} s; see the logs in {folder}")]
     NotReady {
-        /// What was waited for.
+        /// The condition.
         what: String,
-        /// How long.
+        /// Timeout in seconds.
         seconds: u64,
         /// Folder of the logs.
         folder: PathBuf,
     },
-    /// A record could not be written.
-    #[error("a record of the run can't be written: {0}")]
+    /// A history file could not be written or opened.
+    #[error("history of the run can't be accessed: {0}")]
     Record(std::io::Error),
-    /// A history file can't be read.
+    /// A history file can't be parsed.
     #[error("{path}: {source}")]
     History {
         /// File.
--- a/crates/bench/src/fleet/experiment.rs
+++ b/crates/bench/src/fleet/experiment.rs
@@ -1,4 +1,4 @@
-//! Reads an experiment's file and checks it against its deployment.
+//! Reads an experiment file and checks it against its deployment.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -8,10 +8,10 @@
 use super::deployment::Deployment;
 use super::error::FleetError;
 
-/// Name that stands for the control replica that leads when the step comes.
+/// Alias in a step for the control replica that is the leader when the step is executed.
 pub const LEADER: &str = "leader";
 
-/// Reads an experiment; its steps are put in the order of their times.
+/// Reads an experiment and sorts its steps by time.
 pub fn load(path: &Path) -> Result<Experiment, FleetError> {
     let text = std::fs::read_to_string(path).map_err(|source| FleetError::ExperimentFile {
         path: path.to_path_buf(),
@@ -26,7 +26,7 @@
     Ok(experiment)
 }
 
-/// Checks that every process, bundle and service of the experiment is the deployment's.
+/// Checks that the deployment has every process, bundle and service that the experiment names.
 pub fn check(experiment: &Experiment, deployment: &Deployment) -> Result<(), FleetError> {
     let known = process_names(deployment);
     for step in &experiment.steps {
@@ -45,7 +45,8 @@
     }
     for load in &experiment.load {
         let services = deployment.bundles.first().map(|bundle| &bundle.services);
-        let found = services.is_some_and(|all| all.iter().any(|one| one.name == load.service));
+        let found =
+            services.is_some_and(|all| all.iter().any(|service| service.name == load.service));
         if !found {
             let service = load.service.to_string();
             return Err(FleetError::UnknownService { service });
@@ -54,8 +55,8 @@
     Ok(())
 }
 
-/// Back ends that some step cuts off.
-pub fn linked(experiment: &Experiment) -> BTreeSet<String> {
+/// Back ends whose traffic some step cuts; they need a relay in front.
+pub fn relayed(experiment: &Experiment) -> BTreeSet<String> {
     let cut = |fault: &Fault| match fault {
         Fault::Cut(cut) => Some(cut.process.to_string()),
         _ => None,
--- a/crates/bench/src/fleet/faults.rs
+++ b/crates/bench/src/fleet/faults.rs
@@ -1,7 +1,8 @@
-//! Carries out the steps of an experiment.
+//! Executes the faults of an experiment.
 //!
-//! Invariant: a fault's record is written before a kill or freeze takes effect, and after a process
-//! has come back, so that the checkers never blame a process for what a fault did.
+//! The runner's history records each fault, so that the checkers don't take its effects for a violation
+//! by the process. A freeze or cut is recorded before it begins and after it ends. A kill is recorded after
+//! the process has exited, a start before the process is launched.
 
 use std::thread;
 use std::time::Duration;
@@ -13,20 +14,20 @@
 use super::experiment::LEADER;
 use super::plans::Kind;
 
-/// Pause between two processes of a rolling restart, so that each is back before the next goes.
+/// Pause between two processes of a rolling restart, so that each has restarted before the next one stops.
 const RESTART_PAUSE: Duration = Duration::from_millis(1500);
 
-/// A process that a step froze, and that must go on at the end of its time.
+/// A process that a step froze and that must be resumed later.
 #[derive(Debug)]
 pub struct Frozen {
     /// Name of the process.
     pub process: String,
-    /// How long it stands still.
-    pub length: Duration,
+    /// How long the process stays frozen.
+    pub duration: Duration,
 }
 
-/// Carries out one fault; returns a process to be resumed later, if it froze one.
-pub fn carry_out(fleet: &mut Fleet, fault: &Fault) -> Result<Option<Frozen>, FleetError> {
+/// Executes one fault. When it froze a process, the caller has to resume that process later.
+pub fn execute(fleet: &mut Fleet, fault: &Fault) -> Result<Option<Frozen>, FleetError> {
     match fault {
         Fault::Kill(name) => kill(fleet, &resolve(fleet, name)?)?,
         Fault::Start(name) => start(fleet, name)?,
@@ -52,7 +53,7 @@
     Ok(None)
 }
 
-/// Lets a frozen process go on.
+/// Resumes a frozen process and records its return.
 pub fn resume(fleet: &mut Fleet, name: &str) -> Result<(), FleetError> {
     fleet.process(name)?.resume()?;
     fleet.record(HistoryEvent::Returned(name.to_string()))
@@ -70,7 +71,7 @@
     fleet.record(HistoryEvent::Killed(name.to_string()))
 }
 
-/// Starts a process; one that runs is left alone.
+/// Starts a process unless it is running.
 fn start(fleet: &mut Fleet, name: &str) -> Result<(), FleetError> {
     if fleet.is_running(name)? {
         return Ok(());
@@ -96,8 +97,8 @@
     let process = resolve(fleet, &freeze.process)?;
     fleet.record(HistoryEvent::Frozen(process.clone()))?;
     fleet.process(&process)?.freeze()?;
-    let length = Duration::from_millis(freeze.for_ms.get());
-    Ok(Frozen { process, length })
+    let duration = Duration::from_millis(freeze.for_ms.get());
+    Ok(Frozen { process, duration })
 }
 
 fn lose_disk(fleet: &mut Fleet, name: &str) -> Result<(), FleetError> {
@@ -114,7 +115,8 @@
     })
 }
 
-/// Rolls two bundles of one version, which differ in their notes, from two threads at once.
+/// Rolls two bundles of the same version concurrently. They differ only in their notes, and at most one
+/// may be accepted.
 fn race(fleet: &Fleet, version: u64) -> Result<(), FleetError> {
     let first = fleet.prepare(version)?;
     let mut second = first.bundle.clone();
--- a/crates/bench/src/fleet/layout.rs
+++ b/crates/bench/src/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! Addresses and folders of a fleet.
+//! Folder and addresses of a fleet.
 
 use std::net::{Ipv4Addr, TcpListener};
 use std::ops::Range;
@@ -6,10 +6,10 @@
 
 use grebepin_schema::SocketAddress;
 
-/// Ports that fleets use.
+/// Range of the fleets' ports, below the ephemeral port range.
 const PORTS: Range<u16> = 12_000..32_000;
 
-/// Why a fleet could not be laid out.
+/// Why the folder or addresses of a fleet could not be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum LayoutError {
     /// A file or folder could not be written.
@@ -20,26 +20,26 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// A link's port could not be listened on.
-    #[error("a link can't listen: {0}")]
-    Link(std::io::Error),
+    /// A relay could not listen on its port.
+    #[error("a relay can't listen: {0}")]
+    Relay(std::io::Error),
     /// Too few ports are free.
     #[error("only {found} of {wanted} ports are free on loopback")]
     Ports {
-        /// Ports asked for.
+        /// Number of ports requested.
         wanted: usize,
-        /// Ports found.
+        /// Number of free ports found.
         found: usize,
     },
 }
 
-/// The folder of one fleet and the ports it was given.
+/// The folder of one fleet.
 pub struct Layout {
     folder: PathBuf,
 }
 
 impl Layout {
-    /// Creates the folder `folder`, empty.
+    /// Creates an empty folder; an existing one is deleted with its content.
     pub fn create(folder: &Path) -> Result<Self, LayoutError> {
         let fail = |source| LayoutError::Write {
             path: folder.to_path_buf(),
@@ -59,13 +59,13 @@
         &self.folder
     }
 
-    /// Creates the folder `name` in the fleet's folder.
+    /// Creates the subfolder `name`.
     pub fn create_folder(&self, name: &str) -> Result<(), LayoutError> {
         let path = self.folder.join(name);
         std::fs::create_dir(&path).map_err(|source| LayoutError::Write { path, source })
     }
 
-    /// Writes `text` to `name` in the fleet's folder and returns its path.
+    /// Writes `text` to the file `name` and returns its path.
     pub fn write(&self, name: &str, text: &str) -> Result<PathBuf, LayoutError> {
         let path = self.folder.join(name);
         std::fs::write(&path, text).map_err(|source| LayoutError::Write {
@@ -75,10 +75,11 @@
         Ok(path)
     }
 
-    /// As many free loopback addresses as asked for, all different.
+    /// Finds `count` different free loopback addresses.
     ///
-    /// They lie below the ports that systems give to outgoing connections, so that none of these takes
-    /// one before its process listens; the search starts at random, so that fleets side by side differ.
+    /// They lie below the ephemeral port range, so that no outgoing connection takes a port before its
+    /// process listens on it. The search starts at a random port, so that concurrent fleets get different
+    /// ones.
     pub fn free_addresses(count: usize) -> Result<Vec<SocketAddress>, LayoutError> {
         let mut listeners = Vec::with_capacity(count);
         let mut addresses = Vec::with_capacity(count);
--- a/crates/bench/src/fleet/mod.rs
+++ b/crates/bench/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment as separate processes on loopback, with faults on a schedule.
+//! Runs a deployment as separate processes on loopback, with scheduled faults.
 
 pub mod callers;
 pub mod cluster;
@@ -7,10 +7,10 @@
 pub mod experiment;
 pub mod faults;
 pub mod layout;
-pub mod link;
 pub mod observer;
 pub mod plans;
 pub mod process;
+pub mod relay;
 pub mod run;
 
 pub use cluster::Fleet;
--- a/crates/bench/src/fleet/observer.rs
+++ b/crates/bench/src/fleet/observer.rs
@@ -1,4 +1,4 @@
-//! Watches, from outside, which table each router has in force.
+//! Records which routing table each router has in force, by polling its admin interface.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,7 +9,7 @@
 use grebepin_schema::{HistoryEvent, InForceRecord, LogIndex};
 use grebepin_standin::history::HistoryWriter;
 
-const INTERVAL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Polls routers until it is stopped.
@@ -19,7 +19,7 @@
 }
 
 impl Observer {
-    /// Starts a thread for each router's admin address.
+    /// Starts a polling thread for each router's admin address; changes are written to `history`.
     pub fn start(routers: &[SocketAddr], history: &Arc<HistoryWriter>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let watch_one = |address: &SocketAddr| {
@@ -32,7 +32,7 @@
         Self { stop, threads }
     }
 
-    /// Stops and waits for the threads.
+    /// Stops the threads and waits for their end.
     pub fn stop(self) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
@@ -46,22 +46,23 @@
     let agent = ureq::Agent::new_with_config(config.build());
     let mut last: Option<InForceRecord> = None;
     while !stop.load(Ordering::Relaxed) {
-        if let Some(now) = ask(&agent, url).filter(has_table) {
+        if let Some(now) = fetch(&agent, url).filter(has_table) {
             if last.as_ref() != Some(&now) {
                 let event = HistoryEvent::InForce(now.clone());
                 history.record(Instant::now(), event).ok();
                 last = Some(now);
             }
         }
-        thread::sleep(INTERVAL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A router that has just started has no table in force yet, which is no older table.
+/// False for a router that has just started: it has no table in force yet, which must not be recorded as
+/// a return to an older table.
 fn has_table(record: &InForceRecord) -> bool {
     record.index > LogIndex(0)
 }
 
-fn ask(agent: &ureq::Agent, url: &str) -> Option<InForceRecord> {
+fn fetch(agent: &ureq::Agent, url: &str) -> Option<InForceRecord> {
     agent.get(url).call().ok()?.body_mut().read_json().ok()
 }
--- a/crates/bench/src/fleet/plans.rs
+++ b/crates/bench/src/fleet/plans.rs
@@ -1,4 +1,4 @@
-//! How each process of a deployment is started.
+//! Command lines and settings files of a deployment's processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
@@ -11,10 +11,10 @@
 use super::deployment::Deployment;
 use super::error::FleetError;
 use super::layout::{Layout, LayoutError};
-use super::link::{self, Cuts};
 use super::process::ProcessPlan;
+use super::relay::{self, Cuts};
 
-/// Kind of a fleet's process.
+/// Kind of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Control replica.
@@ -25,34 +25,34 @@
     BackEnd,
 }
 
-/// Times that the stand-in back ends put in.
+/// Delays that the simulated back ends add.
 #[derive(Clone, Copy, Debug)]
 pub struct BackEndTimes {
-    /// Mean time of one request, in ms.
+    /// Mean service time of a request, in ms.
     pub service_ms: f64,
-    /// Network time of one direction, in ms.
+    /// One-way network delay, in ms.
     pub delay_ms: f64,
-    /// Time of a new connection, in ms.
+    /// Time to establish a connection, in ms.
     pub connect_ms: f64,
-    /// Time of a probe, in ms.
+    /// Duration of a probe, in ms.
     pub probe_ms: f64,
 }
 
-/// How to start one process, and its kind.
+/// One process of the fleet.
 #[derive(Clone, Debug)]
-pub struct Member {
-    /// Kind.
+pub struct PlannedProcess {
+    /// Which program it runs.
     pub kind: Kind,
-    /// How to start it.
+    /// Command line with which it is started and restarted.
     pub plan: ProcessPlan,
 }
 
-/// Plans of the control replicas and routers.
+/// Plans of the control replicas and routers; writes their settings files.
 pub fn daemons(
     layout: &Layout,
     deployment: &Deployment,
-) -> Result<BTreeMap<String, Member>, FleetError> {
-    let mut members = BTreeMap::new();
+) -> Result<BTreeMap<String, PlannedProcess>, FleetError> {
+    let mut processes = BTreeMap::new();
     for (name, settings) in &deployment.controls {
         let mut settings = settings.clone();
         settings.data_dir = layout.folder().join(name).display().to_string();
@@ -60,30 +60,36 @@
         let text = to_toml(name, &settings)?;
         let path = layout.write(&format!("{name}.toml"), &text)?;
         let arguments = vec!["control".into(), path.into()];
-        members.insert(name.clone(), member(layout, Kind::Control, name, arguments));
+        processes.insert(
+            name.clone(),
+            planned_process(layout, Kind::Control, name, arguments),
+        );
     }
     for (name, settings) in &deployment.routers {
         let path = layout.write(&format!("{name}.toml"), &to_toml(name, settings)?)?;
         let arguments = vec!["router".into(), path.into()];
-        members.insert(name.clone(), member(layout, Kind::Router, name, arguments));
+        processes.insert(
+            name.clone(),
+            planned_process(layout, Kind::Router, name, arguments),
+        );
     }
-    Ok(members)
+    Ok(processes)
 }
 
-/// Plans of back ends, and the cuts of those that have a link in front.
+/// Plans of the back ends, and the cuts of those with a relay in front.
 pub struct BackEnds {
     /// Plans by process name.
-    pub members: BTreeMap<String, Member>,
+    pub processes: BTreeMap<String, PlannedProcess>,
     /// Cuts by process name.
     pub cuts: BTreeMap<String, Arc<Cuts>>,
 }
 
-/// Plans of the back ends of every bundle, and a link in front of each one named in `linked`.
+/// Plans of the back ends of every bundle. Starts a relay in front of each one named in `relayed`.
 pub fn back_ends(
     layout: &Layout,
     deployment: &Deployment,
     times: BackEndTimes,
-    linked: &BTreeSet<String>,
+    relayed: &BTreeSet<String>,
 ) -> Result<BackEnds, FleetError> {
     let services = deployment
         .bundles
@@ -93,42 +99,42 @@
         .flat_map(|service| &service.servers)
         .map(|server| (server.name.to_string(), server))
         .collect();
-    let mut members = BTreeMap::new();
+    let mut processes = BTreeMap::new();
     let mut cuts = BTreeMap::new();
     for (name, server) in servers {
         let mut listen = server.address.clone();
-        if linked.contains(&name) {
+        if relayed.contains(&name) {
             listen = Layout::free_addresses(1)?.remove(0);
-            cuts.insert(name.clone(), start_link(&server.address, &listen)?);
+            cuts.insert(name.clone(), start_relay(&server.address, &listen)?);
         }
         let arguments = back_end_arguments(layout.folder(), server, &listen, times);
-        members.insert(
+        processes.insert(
             name.clone(),
-            member(layout, Kind::BackEnd, &name, arguments),
+            planned_process(layout, Kind::BackEnd, &name, arguments),
         );
     }
-    Ok(BackEnds { members, cuts })
+    Ok(BackEnds { processes, cuts })
 }
 
-/// Address of a schema type as the standard library's.
+/// Converts an address of the schema. Panics on a malformed one, which this program never assigns.
 pub fn socket_address(address: &SocketAddress) -> SocketAddr {
     address
         .as_str()
         .parse()
-        .expect("addresses of a fleet are given by this program")
+        .expect("addresses of a fleet are assigned by this program")
 }
 
-/// Folder of the history files within the fleet's folder, as `grebepin check` takes it.
+/// Subfolder of the history files; `grebepin check` accepts it as one run.
 pub const HISTORIES: &str = "histories";
 
-/// History file of a process, within the fleet's folder.
+/// History file of a process, relative to the fleet's folder.
 pub fn history_file(name: &str) -> PathBuf {
     Path::new(HISTORIES).join(format!("{name}.jsonl"))
 }
 
-fn start_link(address: &SocketAddress, target: &SocketAddress) -> Result<Arc<Cuts>, LayoutError> {
-    let listener = TcpListener::bind(address.as_str()).map_err(LayoutError::Link)?;
-    Ok(link::start(listener, socket_address(target)))
+fn start_relay(address: &SocketAddress, target: &SocketAddress) -> Result<Arc<Cuts>, LayoutError> {
+    let listener = TcpListener::bind(address.as_str()).map_err(LayoutError::Relay)?;
+    Ok(relay::start(listener, socket_address(target)))
 }
 
 fn back_end_arguments(
@@ -155,13 +161,18 @@
     arguments
 }
 
-fn member(layout: &Layout, kind: Kind, name: &str, arguments: Vec<OsString>) -> Member {
+fn planned_process(
+    layout: &Layout,
+    kind: Kind,
+    name: &str,
+    arguments: Vec<OsString>,
+) -> PlannedProcess {
     let plan = ProcessPlan {
         name: name.to_string(),
         folder: layout.folder().to_path_buf(),
         arguments,
     };
-    Member { kind, plan }
+    PlannedProcess { kind, plan }
 }
 
 fn to_toml<T: serde::Serialize>(name: &str, settings: &T) -> Result<String, FleetError> {
--- a/crates/bench/src/fleet/process.rs
+++ b/crates/bench/src/fleet/process.rs
@@ -1,6 +1,6 @@
-//! One process of a fleet: this executable again, in the role of a daemon.
+//! One process of a fleet. It runs this executable with the subcommand `daemon`.
 //!
-//! Invariant: a process that goes out of scope is killed and waited for.
+//! Invariant: dropping a [`Process`] kills it and waits for its exit.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -10,7 +10,7 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a process could not be started or signalled.
 #[derive(Debug, thiserror::Error)]
@@ -31,12 +31,12 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The process did not end in time.
-    #[error("process {name} did not end within {waited:?}")]
+    /// The process did not exit in time.
+    #[error("process {name} did not exit within {waited:?}")]
     StillRunning {
         /// Name of the process.
         name: String,
-        /// How long it was waited for.
+        /// Timeout.
         waited: Duration,
     },
 }
@@ -44,15 +44,15 @@
 /// How to start a process.
 #[derive(Clone, Debug)]
 pub struct ProcessPlan {
-    /// Name, also of its log file.
+    /// Name of the process and the stem of its log file.
     pub name: String,
     /// Folder of the log file.
     pub folder: PathBuf,
-    /// Role and flags, behind `daemon`.
+    /// Arguments after `daemon`: the role and its flags.
     pub arguments: Vec<OsString>,
 }
 
-/// A running process.
+/// A started process, which may have exited.
 #[derive(Debug)]
 pub struct Process {
     plan: ProcessPlan,
@@ -70,17 +70,17 @@
         Ok(Self { plan, child })
     }
 
-    /// How it was started.
+    /// The plan that it was started from.
     pub fn plan(&self) -> &ProcessPlan {
         &self.plan
     }
 
-    /// Process id.
+    /// Process id assigned by the operating system.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Whether the process has not ended.
+    /// Whether the process has not exited yet.
     pub fn is_running(&mut self) -> Result<bool, ProcessError> {
         match self.child.try_wait() {
             Ok(status) => Ok(status.is_none()),
@@ -88,40 +88,40 @@
         }
     }
 
-    /// Kills the process at once, as a machine's loss would, and waits for its end.
+    /// Kills the process (SIGKILL), like the loss of its machine, and waits for its exit.
     pub fn kill(&mut self) -> Result<(), ProcessError> {
         let killed = self.child.kill().and_then(|()| self.child.wait().map(drop));
         killed.map_err(|source| self.signal_error(source))
     }
 
-    /// Stops the process where it stands (SIGSTOP).
+    /// Suspends the process (SIGSTOP).
     pub fn freeze(&self) -> Result<(), ProcessError> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets a frozen process go on (SIGCONT).
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) -> Result<(), ProcessError> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks the process to end (SIGTERM) and waits for its end.
-    pub fn stop(&mut self, patience: Duration) -> Result<(), ProcessError> {
+    /// Shuts the process down (SIGTERM) and waits for its exit, at most for `timeout`.
+    pub fn stop(&mut self, timeout: Duration) -> Result<(), ProcessError> {
         self.signal(Signal::TERM)?;
         let started = Instant::now();
-        while started.elapsed() < patience {
+        while started.elapsed() < timeout {
             match self.child.try_wait() {
                 Ok(Some(_)) => return Ok(()),
-                Ok(None) => std::thread::sleep(POLL),
+                Ok(None) => std::thread::sleep(POLL_INTERVAL),
                 Err(source) => return Err(self.signal_error(source)),
             }
         }
         Err(ProcessError::StillRunning {
             name: self.plan.name.clone(),
-            waited: patience,
+            waited: timeout,
         })
     }
 
-    /// Waits for the process's own end and returns whether it succeeded.
+    /// Waits until the process exits by itself; returns whether its exit code was 0.
     pub fn wait(&mut self) -> Result<bool, ProcessError> {
         match self.child.wait() {
             Ok(status) => Ok(status.success()),
--- a/crates/bench/src/fleet/link.rs
+++ b/crates/bench/src/fleet/relay.rs
@@ -1,8 +1,8 @@
-//! A relay in front of one back end that can cut it off silently.
+//! A TCP relay in front of one back end that can cut its traffic off silently.
 //!
-//! A cut stops bytes and new connections without closing anything, as a lost network path does.
-//! Connections are told apart by their first request: the control replicas' calls go to paths under
-//! `/grebepin/`, routers' requests to any other.
+//! A cut holds back bytes and new connections without closing anything, as a network partition does.
+//! Connections are classified by the path of their first request: control replicas call paths under
+//! `/grebepin/`, routers' requests have any other path.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -15,11 +15,11 @@
 
 const CONTROL_PATH: &[u8] = b"/grebepin/";
 const BUFFER_BYTES: usize = 64 << 10;
-const CUT_POLL: Duration = Duration::from_millis(5);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const FIRST_BYTES_TIMEOUT: Duration = Duration::from_secs(30);
-const LONGEST_METHOD: usize = 8;
+const MAXIMUM_METHOD_BYTES: usize = 8;
 
-/// Which traffic is cut now.
+/// Traffic that a relay currently cuts.
 #[derive(Debug, Default)]
 pub struct Cuts {
     control: AtomicBool,
@@ -27,7 +27,7 @@
 }
 
 impl Cuts {
-    /// Cuts some traffic, until [`Cuts::heal`].
+    /// Cuts the given traffic until [`Cuts::heal`]; adds to earlier cuts.
     pub fn cut(&self, traffic: CutTraffic) {
         if traffic != CutTraffic::Requests {
             self.control.store(true, Ordering::Relaxed);
@@ -53,13 +53,13 @@
     }
 }
 
-/// Starts to relay from `listener` to `target`; ends with the process.
+/// Starts a relay from `listener` to `target` on threads of its own, which run until this process exits.
 pub fn start(listener: TcpListener, target: SocketAddr) -> Arc<Cuts> {
     let cuts = Arc::new(Cuts::default());
-    let for_connections = Arc::clone(&cuts);
+    let shared_cuts = Arc::clone(&cuts);
     thread::spawn(move || {
         for connection in listener.incoming().flatten() {
-            let cuts = Arc::clone(&for_connections);
+            let cuts = Arc::clone(&shared_cuts);
             thread::spawn(move || relay(connection, target, &cuts));
         }
     });
@@ -80,20 +80,21 @@
     if server.write_all(&first).is_err() {
         return;
     }
-    let (Ok(back_from), Ok(back_to)) = (server.try_clone(), caller.try_clone()) else {
+    let (Ok(response_source), Ok(response_target)) = (server.try_clone(), caller.try_clone())
+    else {
         return;
     };
-    let back_cuts = Arc::clone(cuts);
-    thread::spawn(move || copy(back_from, back_to, &back_cuts, is_control));
+    let response_cuts = Arc::clone(cuts);
+    thread::spawn(move || copy(response_source, response_target, &response_cuts, is_control));
     copy(caller, server, cuts, is_control);
 }
 
-/// The first bytes of a connection, and whether they are a control replica's call.
+/// Reads enough of a connection to classify it: the bytes read, and whether a control replica sent them.
 fn first_bytes(caller: &mut TcpStream) -> Option<(Vec<u8>, bool)> {
     caller.set_read_timeout(Some(FIRST_BYTES_TIMEOUT)).ok()?;
     let mut first = Vec::new();
     let mut buffer = [0; BUFFER_BYTES];
-    while first.len() < LONGEST_METHOD + CONTROL_PATH.len() {
+    while first.len() < MAXIMUM_METHOD_BYTES + CONTROL_PATH.len() {
         match caller.read(&mut buffer) {
             Ok(0) | Err(_) => return None,
             Ok(count) => first.extend_from_slice(&buffer[..count]),
@@ -107,7 +108,7 @@
 
 fn wait_while_cut(cuts: &Cuts, is_control: bool) {
     while cuts.is_cut(is_control) {
-        thread::sleep(CUT_POLL);
+        thread::sleep(CUT_POLL_INTERVAL);
     }
 }
 
--- a/crates/bench/src/fleet/run.rs
+++ b/crates/bench/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! Runs an experiment on a fleet and reports it.
+//! Runs an experiment on a fleet and builds its report.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use super::deployment::{Deployment, LeaseTimes};
 use super::error::FleetError;
 use super::experiment;
-use super::faults::{carry_out, resume, Frozen};
+use super::faults::{execute, resume, Frozen};
 use super::observer::Observer;
 use super::plans::{history_file, socket_address, BackEndTimes};
 use super::process::Process;
@@ -20,45 +20,46 @@
 use crate::report::RunReport;
 
 const OBSERVER: &str = "observer";
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// How a fleet is run.
+/// Inputs of a run.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
     /// Folder of the deployment.
     pub deployment: PathBuf,
     /// File of the experiment.
     pub experiment: PathBuf,
-    /// Folder for settings, logs and records.
+    /// Folder for settings, logs and histories; an existing one is emptied first.
     pub folder: PathBuf,
-    /// Times that the stand-in back ends put in.
+    /// Delays that the simulated back ends add.
     pub times: BackEndTimes,
-    /// Times of the back ends' leases.
+    /// Overrides of the deployment's lease and election times.
     pub leases: LeaseTimes,
 }
 
-/// Runs the experiment; `progress` receives a line for people at each step.
+/// Runs the experiment from the start of its processes to the report. `progress` receives a line of text
+/// for each phase and step.
 pub fn run(plan: &RunPlan, progress: &mut dyn FnMut(&str)) -> Result<RunReport, FleetError> {
     let experiment = experiment::load(&plan.experiment)?;
     let mut deployment = Deployment::load(&plan.deployment)?;
     deployment.set_leases(plan.leases);
     experiment::check(&experiment, &deployment)?;
-    let linked = experiment::linked(&experiment);
+    let relayed = experiment::relayed(&experiment);
     progress("starting the processes");
-    let mut fleet = Fleet::start(&plan.folder, deployment, plan.times, &linked)?;
+    let mut fleet = Fleet::start(&plan.folder, deployment, plan.times, &relayed)?;
     progress("rolling the first bundle");
     fleet.roll(1)?;
     fleet.wait_for_owners()?;
     let observer = start_observer(&fleet)?;
-    progress("every shard has its owner; callers start");
+    progress("every shard has its owner; starting the callers");
     let mut callers = callers::start(&fleet, &experiment)?;
-    follow_steps(&mut fleet, &experiment, progress)?;
+    execute_steps(&mut fleet, &experiment, progress)?;
     for process in &mut callers {
         process.wait()?;
     }
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     observer.stop();
-    progress("checking the records");
+    progress("checking the histories");
     report(&fleet, &experiment, &callers)
 }
 
@@ -72,8 +73,8 @@
     Ok(Observer::start(&routers, &Arc::new(history)))
 }
 
-/// Carries out the steps at their times, and resumes what was frozen.
-fn follow_steps(
+/// Executes the steps at their times, and resumes frozen processes when their time is over.
+fn execute_steps(
     fleet: &mut Fleet,
     experiment: &Experiment,
     progress: &mut dyn FnMut(&str),
@@ -85,8 +86,8 @@
         resume_until(fleet, &mut frozen, started, at)?;
         sleep_until(started, at);
         progress(&describe(step));
-        if let Some(process) = carry_out(fleet, &step.fault)? {
-            frozen.push((started.elapsed() + process.length, process));
+        if let Some(process) = execute(fleet, &step.fault)? {
+            frozen.push((started.elapsed() + process.duration, process));
         }
     }
     let end = Duration::from_secs(experiment.seconds.get());
@@ -144,10 +145,10 @@
     ))
 }
 
-/// Adds the records of a file; a last line that a kill cut short is left out.
+/// Appends the records of a history file; skips an incomplete last line, which a killed process leaves.
 fn read_records(path: &Path, records: &mut Vec<HistoryRecord>) -> Result<(), FleetError> {
     let text = std::fs::read(path).map_err(FleetError::Record)?;
-    let whole = text
+    let complete_length = text
         .iter()
         .rposition(|byte| *byte == b'\n')
         .map_or(0, |end| end + 1);
@@ -155,7 +156,7 @@
         path: path.to_path_buf(),
         source,
     };
-    for record in read_history(&text[..whole]) {
+    for record in read_history(&text[..complete_length]) {
         records.push(record.map_err(fail)?);
     }
     Ok(())
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Fleet runner, demonstration and experiments.
+//! Runs fleets of real processes on loopback under load and faults, and reports the result.
 
 pub mod commands;
 pub mod fleet;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `grebepin-bench`: stand-ins, fleets of processes and experiments.
+//! `grebepin-bench`: runs fleets of processes on one machine, with load and faults.
 
 use std::path::PathBuf;
 
--- a/crates/bench/src/report/html.rs
+++ b/crates/bench/src/report/html.rs
@@ -1,4 +1,4 @@
-//! A report as one HTML page.
+//! Renders a report as an HTML page.
 
 use super::plots::answered_over_time;
 use super::text::render_text;
@@ -7,7 +7,7 @@
 const STYLE: &str =
     "body{font-family:sans-serif;max-width:1000px;margin:2em auto}pre{overflow-x:auto}";
 
-/// Writes a report as a page that needs no other file.
+/// Renders a report as a self-contained HTML page.
 pub fn render_html(report: &RunReport) -> Result<String, ReportError> {
     let plot = answered_over_time(report)?;
     let steps: String = report.steps.iter().map(step_line).collect();
--- a/crates/bench/src/report/latency.rs
+++ b/crates/bench/src/report/latency.rs
@@ -1,4 +1,4 @@
-//! Outcomes and latencies of callers' attempts, by class of request.
+//! Outcomes and latencies of the callers' attempts by request class.
 
 use std::collections::BTreeMap;
 
@@ -7,41 +7,42 @@
 
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
-/// Longest latency told apart; a longer one counts as this.
-const LONGEST_US: u64 = 3600 * MICROSECONDS_PER_SECOND;
+/// Upper bound of the histograms; a longer latency is recorded as this one.
+const MAXIMUM_LATENCY_US: u64 = 3600 * MICROSECONDS_PER_SECOND;
 
-/// Outcomes and latencies of one class; times in microseconds from the intended start.
+/// Outcomes and latencies of one class. Latencies are in microseconds from the intended start of the
+/// request, so that a request that starts late counts in full.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct ClassLatencies {
-    /// Attempts answered by the owner.
+    /// Attempts that the owner answered.
     pub answered: u64,
-    /// Attempts called not run.
+    /// Attempts reported as not run.
     pub not_run: u64,
-    /// Attempts of unknown outcome.
+    /// Attempts reported as of unknown outcome.
     pub unknown: u64,
-    /// Attempts without any answer.
+    /// Attempts without any response.
     pub no_answer: u64,
-    /// Median of the answered.
+    /// Median latency of the answered attempts.
     pub p50_us: u64,
-    /// 90 of 100 of the answered were faster.
+    /// 90th percentile of the answered attempts' latencies.
     pub p90_us: u64,
-    /// 99 of 100 of the answered were faster.
+    /// 99th percentile of the answered attempts' latencies.
     pub p99_us: u64,
-    /// 999 of 1,000 of the answered were faster.
+    /// 99.9th percentile of the answered attempts' latencies.
     pub p999_us: u64,
-    /// Slowest answer.
+    /// Longest latency of an answered attempt.
     pub slowest_us: u64,
 }
 
-/// Outcomes and latencies by `SERVICE CLASS`.
+/// Outcomes and latencies of all classes.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Latencies {
-    /// By service and class.
+    /// By service and class, with keys of the form `SERVICE CLASS`.
     pub classes: BTreeMap<String, ClassLatencies>,
 }
 
 impl Latencies {
-    /// Takes the attempts out of a history.
+    /// Collects the attempts of a run's histories.
     pub fn from_records(records: &[HistoryRecord]) -> Self {
         let names = class_names(records);
         let mut collected: BTreeMap<String, (ClassLatencies, Histogram<u64>)> = BTreeMap::new();
@@ -72,7 +73,7 @@
     }
 }
 
-/// Answers by second since `started_us`.
+/// Number of answered attempts in each second after `started_us`.
 pub fn answered_by_second(records: &[HistoryRecord], started_us: u64) -> Vec<u64> {
     let mut seconds = Vec::new();
     for record in records {
@@ -105,7 +106,7 @@
 }
 
 fn empty_histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_US, SIGNIFICANT_DIGITS)
+    Histogram::new_with_max(MAXIMUM_LATENCY_US, SIGNIFICANT_DIGITS)
         .expect("an hour and three significant digits are allowed")
 }
 
--- a/crates/bench/src/report/mod.rs
+++ b/crates/bench/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What a run showed: outcomes, latencies, the three measures, and the promises.
+//! Report of a run: outcomes, latencies, measures by service, and violated promises.
 
 mod html;
 mod latency;
@@ -25,35 +25,36 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The report can't be written as JSON.
-    #[error("the report can't be written as JSON: {0}")]
+    /// The report could not be serialized as JSON.
+    #[error("the report can't be serialized as JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// A plot could not be drawn.
     #[error("a plot can't be drawn: {0}")]
     Plot(String),
 }
 
-/// Everything that a run showed.
+/// Report of one run.
 #[derive(Debug, serde::Serialize)]
 pub struct RunReport {
     /// Name of the experiment.
     pub experiment: String,
-    /// Load average of the machine over the last minute, at the end of the run.
+    /// The machine's load average over the last minute when the report was made; `None` where the system
+    /// does not provide it.
     pub load_average: Option<f64>,
     /// Outcomes and latencies by class.
     pub latencies: Latencies,
-    /// Unavailable time, churn and imbalance by service.
+    /// Unavailability, churn and imbalance by service.
     pub measures: Measures,
-    /// Promises checked.
+    /// Result of the checks of every promise.
     pub check: Report,
-    /// Answers a second, by second of the run.
+    /// Number of answered attempts in each second of the run.
     pub answered_by_second: Vec<u64>,
-    /// What was done when.
+    /// Faults and operator actions of the experiment.
     pub steps: Vec<Step>,
 }
 
 impl RunReport {
-    /// Reports a run from its records; `started_us` is the first caller's start.
+    /// Builds the report from the records of a run. The run starts when the first attempt is sent.
     pub fn new(
         name: &str,
         records: &[HistoryRecord],
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Whether every promise was kept.
+    /// Whether no promise was violated.
     pub fn is_clean(&self) -> bool {
         self.check.is_clean()
     }
@@ -86,7 +87,7 @@
     sent.min().unwrap_or_default()
 }
 
-/// Load average of the machine over the last minute; `None` where the system does not tell.
+/// The machine's load average over the last minute; `None` where the system does not provide it.
 pub fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split(' ').next()?.parse().ok()
--- a/crates/bench/src/report/text.rs
+++ b/crates/bench/src/report/text.rs
@@ -1,4 +1,4 @@
-//! A report for the terminal.
+//! Renders a report as text for the terminal.
 
 use std::fmt::{self, Write};
 
@@ -8,12 +8,12 @@
 
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-const MOST_VIOLATIONS_SHOWN: usize = 10;
+const MAXIMUM_VIOLATIONS_SHOWN: usize = 10;
 
-/// Writes a report as lines of text.
+/// Renders a report as text: latencies, measures and violated promises.
 pub fn render_text(report: &RunReport) -> String {
     let mut text = String::new();
-    write_all(&mut text, report).expect("writing to a string does not fail");
+    write_all(&mut text, report).expect("writing to a string never fails");
     text
 }
 
@@ -93,7 +93,12 @@
             .filter(|found| found.promise == promise);
         writeln!(text, "  {:<34} {}", promise.name(), broken.count())?;
     }
-    for violation in report.check.violations.iter().take(MOST_VIOLATIONS_SHOWN) {
+    for violation in report
+        .check
+        .violations
+        .iter()
+        .take(MAXIMUM_VIOLATIONS_SHOWN)
+    {
         let at = violation.at_us;
         let name = violation.promise.name();
         writeln!(
--- a/crates/bench/tests/deployments.rs
+++ b/crates/bench/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! The deployments and experiments of the repository fit each other.
+//! Checks that the repository's experiments match their deployments.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
--- a/crates/bench/tests/links.rs
+++ b/crates/bench/tests/relays.rs
@@ -1,16 +1,17 @@
-//! A link cuts what it is told to, silently, and gives it back.
+//! Tests that a relay holds back exactly the traffic that is cut, without closing the connection, and
+//! delivers it after the cut is healed.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-use grebepin_bench::fleet::link;
+use grebepin_bench::fleet::relay;
 use grebepin_schema::CutTraffic;
 
-/// Long enough that bytes on loopback have come; only bytes that must not come are waited for so long.
+/// Time after which bytes on loopback would have arrived. Only the check that no bytes arrive waits so long.
 const SILENCE: Duration = Duration::from_millis(100);
 
-/// A server that answers each connection's every byte with itself.
+/// A server that echoes every byte of each connection.
 fn echo_server() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -29,7 +30,7 @@
 fn a_cut_of_one_kind_of_traffic_leaves_the_other() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let cuts = link::start(listener, echo_server());
+    let cuts = relay::start(listener, echo_server());
     let heartbeat = b"POST /grebepin/v1/heartbeat";
     let request = b"POST /saldo-limite/limit/12";
     let table: [(CutTraffic, &[u8], &[u8]); 2] = [
