--- a/examples/back_end.py
+++ b/examples/back_end.py
@@ -1,7 +1,7 @@
-"""A back end for grebepin after docs/INTERFACES.md: back_end.py NAME ADDRESS:PORT
+"""Example back end that implements docs/INTERFACES.md: back_end.py NAME ADDRESS:PORT
 
-One lock guards all state. It serves one control group and never forgets a request; a server
-that runs for long bounds its records by age.
+One lock guards all state. The back end serves one control group and keeps the record of every
+request; a long-running server has to expire its records by age.
 """
 import json
 import random
@@ -22,7 +22,7 @@
     return shards.setdefault((service, int(number)), SimpleNamespace(
         epoch=0, released=0, held=False, asked=-9, fetching=False, in_flight=0, whole_from=1e99, record={}))
 
-def lapse():
+def expire_lease():
     if 0 < me.until <= now():
         me.session, me.until, me.nonces = me.session + 1, 0, {}
         for shard in shards.values():
@@ -64,10 +64,10 @@
                   "draining" if me.drained and not same else None)
         answer["refused" if reason else "accepted"].append({**held, "reason": reason} if reason else held)
         if not reason and not same:
-            take(shard, item, item.get("previous"))
+            take_ownership(shard, item, item.get("previous"))
     return answer
 
-def take(shard, item, previous):
+def take_ownership(shard, item, previous):
     if previous is None and shard.epoch == 0:
         shard.whole_from = 0
     elif not shard.epoch or shard.epoch not in (item["epoch"], previous and previous["epoch"]):
@@ -139,8 +139,8 @@
 def load(_):
     return {"slots": 100, "in_flight": me.in_flight, "waiting": 0}
 
-def begin(shard, ask):
-    """Returns a refusal, "ran" for a request that ran earlier, or None once it is begun."""
+def admission_refusal(shard, ask):
+    """Returns the reason of a refusal, "ran" for a request that ran earlier, or None if it may run."""
     first, repeatable = ask["Attempt"] == "1", ask["Repeatable"] == "true"
     state = shard.record.get(ask["Request-Id"])
     refusal = ("deadline" if int(ask["Deadline-Ms"]) < 1 else not_owner(shard, int(ask["Epoch"])) or
@@ -155,15 +155,15 @@
 
 def serve(ask, seconds):
     with LOCK:
-        lapse()
+        expire_lease()
         shard, request = shard_of(ask["Service"], ask["Shard"]), ask["Request-Id"]
-        refusal, session = begin(shard, ask), me.session
+        refusal, session = admission_refusal(shard, ask), me.session
         if refusal:
             return refusal
         shard.record[request], shard.in_flight, me.in_flight = "running", shard.in_flight + 1, me.in_flight + 1
-    time.sleep(seconds)  # The work, up to its effect.
+    time.sleep(seconds)  # Stands for the work before its effect.
     with LOCK:
-        lapse()
+        expire_lease()
         shard.in_flight, me.in_flight = shard.in_flight - 1, me.in_flight - 1
         refusal = not_owner(shard, int(ask["Epoch"]))
         if session != me.session or me.until - now() < 0.02:
@@ -173,7 +173,7 @@
         if refusal:
             shard.record.pop(request)
             return refusal
-        shard.record[request] = "ran"  # The effect belongs here, under the lock.
+        shard.record[request] = "ran"  # The effect has to take place here, under the lock.
 
 CALLS = {
     "GET": {"holdings": holdings, "handover": handover, "outcome": outcome, "health": health, "load": load},
@@ -181,7 +181,7 @@
 }
 
 class Handler(BaseHTTPRequestHandler):
-    protocol_version = "HTTP/1.1"  # Connections are kept open.
+    protocol_version = "HTTP/1.1"  # Enables persistent connections.
     disable_nagle_algorithm = True
 
     def handle_any(self):
@@ -204,7 +204,7 @@
         if not call or question.get("server", me.name) != me.name:
             return self.answer(421 if call else 404, "not here")
         with LOCK:
-            lapse()
+            expire_lease()
             answer = call(question)
         self.answer(200, json.dumps(answer))
 
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,7 +1,7 @@
 //! Repository tasks.
 //!
-//! `cargo xtask generate` writes `crates/schema/src/generated.rs` from the JSON Schema files under
-//! `schema/`; `cargo xtask generate --check` fails when the committed file differs.
+//! `cargo xtask generate` generates `crates/schema/src/generated.rs` from the JSON Schema files under
+//! `schema/`; `cargo xtask generate --check` fails when the committed file is out of date.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,10 +16,10 @@
     "//! Generated from the files under `schema/` by `cargo xtask generate`. Do not edit.\n\
 #![allow(missing_docs, clippy::all)]\n\n";
 
-/// Derives that small identifier types get besides the usual ones.
+/// Additional derives of the types in [`NUMBER_IDENTIFIERS`].
 const IDENTIFIER_DERIVES: [&str; 6] = ["Copy", "PartialOrd", "Ord", "Eq", "Hash", "Default"];
 
-/// Generated types that are plain numbers used as identifiers or counters.
+/// Generated types that wrap a number used as an identifier or counter.
 const NUMBER_IDENTIFIERS: [&str; 8] = [
     "Epoch",
     "GroupId",
@@ -31,8 +31,8 @@
     "Term",
 ];
 
-/// Generated types, besides those whose name ends in `Name`, that are used as map keys.
-const STRING_KEYS: [&str; 7] = [
+/// Generated types that are used as map keys, besides those whose name ends in `Name`.
+const MAP_KEYS: [&str; 7] = [
     "ClusterId",
     "Digest",
     "HeldShard",
@@ -42,8 +42,8 @@
     "SocketAddress",
 ];
 
-/// Derives of the types used as map keys.
-const NAME_DERIVES: [&str; 4] = ["PartialOrd", "Ord", "Eq", "Hash"];
+/// Additional derives of the types used as map keys.
+const MAP_KEY_DERIVES: [&str; 4] = ["PartialOrd", "Ord", "Eq", "Hash"];
 
 #[derive(Parser)]
 #[command(about = "Repository tasks")]
@@ -85,12 +85,12 @@
         return Ok(());
     }
     if fs::read_to_string(&target)? != generated {
-        bail!("crates/schema/src/generated.rs differs from schema/: run `cargo xtask generate`");
+        bail!("crates/schema/src/generated.rs is out of date: run `cargo xtask generate`");
     }
     Ok(())
 }
 
-/// Reads every schema file and merges their definitions into one name space.
+/// Reads every schema file and merges their definitions into one map; a name may be defined only once.
 fn read_definitions(folder: &Path) -> Result<BTreeMap<String, Schema>> {
     let mut paths: Vec<PathBuf> = fs::read_dir(folder)?
         .map(|entry| entry.map(|entry| entry.path()))
@@ -122,8 +122,8 @@
     for name in names {
         let derives: &[&str] = if NUMBER_IDENTIFIERS.contains(&name.as_str()) {
             &IDENTIFIER_DERIVES
-        } else if name.ends_with("Name") || STRING_KEYS.contains(&name.as_str()) {
-            &NAME_DERIVES
+        } else if name.ends_with("Name") || MAP_KEYS.contains(&name.as_str()) {
+            &MAP_KEY_DERIVES
         } else {
             continue;
         };
