--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -29,7 +29,7 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Make and show operators' keys
+    /// Create and show operators' keys
     #[command(subcommand)]
     Key(KeyCommand),
     /// Check, sign, roll and show bundles
@@ -37,9 +37,9 @@
     Bundle(BundleCommand),
     /// Found the control group, once, over replicas with empty folders
     Found(Found),
-    /// Show members, tolerated losses, servers, routers and what moves
+    /// Show members, tolerated losses, servers, routers and shard moves
     Status(Status),
-    /// Drain a server, or bring it back
+    /// Drain a server, or end its drain
     Drain(Drain),
     /// Change the members of the control group
     #[command(subcommand)]
@@ -60,7 +60,7 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum KeyCommand {
-    /// Make a signing key in a file that only you can read
+    /// Create a signing key in a file that only you can read
     New(KeyNew),
     /// Print the public half of a signing key, as settings files name it
     Public(KeyPublic),
@@ -68,7 +68,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct KeyNew {
-    /// File to make; an existing one is never overwritten
+    /// File to create; an existing one is never overwritten
     pub(crate) file: PathBuf,
 }
 
@@ -82,13 +82,13 @@
 pub(crate) enum BundleCommand {
     /// Check a bundle against every rule and print its digest
     Validate(BundleValidate),
-    /// Add your sign-off to a bundle
+    /// Add your signature to a bundle
     Sign(BundleSign),
-    /// Hand a signed bundle to the control group; safe to send again
+    /// Submit a signed bundle to the control group; safe to repeat
     Roll(BundleRoll),
     /// Show a bundle file, or the bundle in force
     Show(BundleShow),
-    /// Write the bundle that would follow the one in force, unsigned, for you to edit
+    /// Write an unsigned successor of the bundle in force, to be edited
     Next(BundleNext),
 }
 
@@ -134,7 +134,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct BundleNext {
-    /// File to make; an existing one is never overwritten
+    /// File to create; an existing one is never overwritten
     pub(crate) out: PathBuf,
     /// Bundle to follow [default: the bundle in force]
     #[arg(long, value_name = "FILE")]
@@ -143,7 +143,7 @@
     pub(crate) connection: Connection,
 }
 
-/// How the control group is reached.
+/// Arguments of every command that calls the control group.
 #[derive(Clone, Debug, Args)]
 pub(crate) struct Connection {
     /// Admin address of a control replica; name several, one that answers suffices
@@ -154,10 +154,10 @@
         value_delimiter = ','
     )]
     pub(crate) control: Vec<SocketAddr>,
-    /// Longest wait for one replica, in ms
+    /// Timeout of a request to one replica, in ms
     #[arg(long, value_name = "MS", default_value_t = 2000, value_parser = clap::value_parser!(u64).range(1..=600_000))]
     pub(crate) timeout_ms: u64,
-    /// Longest search for a leader, in ms
+    /// Timeout of the search for the leader, in ms
     #[arg(long, value_name = "MS", default_value_t = 10_000, value_parser = clap::value_parser!(u64).range(0..=600_000))]
     pub(crate) patience_ms: u64,
 }
@@ -170,7 +170,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct Status {
-    /// Ask this very replica, leader or not
+    /// Query this replica only, leader or not
     #[arg(long, value_name = "IP:PORT")]
     pub(crate) replica: Option<SocketAddr>,
     /// List every server and router, not only those that need a look
@@ -193,7 +193,7 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum MembersCommand {
-    /// Remove a member for good, such as one whose disk is lost
+    /// Remove a member permanently, such as one whose disk is lost
     Remove(MembersRemove),
 }
 
@@ -222,7 +222,7 @@
     /// deployment, and its histories are one run
     #[arg(required = true)]
     pub(crate) paths: Vec<PathBuf>,
-    /// Error of a history's times between two processes, in µs
+    /// Maximum clock difference between the processes of a history, in µs
     #[arg(long, value_name = "US", default_value_t = 2000)]
     pub(crate) clock_tolerance_us: u64,
 }
@@ -234,7 +234,7 @@
     /// Last entry to apply [default: the last one known to be committed]
     #[arg(long, value_name = "INDEX")]
     pub(crate) to: Option<u64>,
-    /// Leave out the decisions, show only the state that they lead to
+    /// Show only the resulting state, not the decisions
     #[arg(long)]
     pub(crate) state_only: bool,
 }
--- a/crates/cli/src/check/deployment.rs
+++ b/crates/cli/src/check/deployment.rs
@@ -11,10 +11,10 @@
 use crate::error::CliError;
 use crate::files;
 
-/// A field that only control replicas' settings have.
+/// Field that only control replicas' settings have, which tells them from routers' settings.
 const CONTROL_FIELD: &str = "data_dir";
 
-/// What the files of one deployment say.
+/// The parsed files of one deployment.
 #[derive(Default)]
 pub(super) struct Deployment {
     pub(super) controls: Vec<ControlSettings>,
@@ -22,7 +22,7 @@
     pub(super) bundles: Vec<(PathBuf, SignedBundle)>,
 }
 
-/// Checks each file by itself, then all that load against each other.
+/// Checks each file by itself, then the files that load against each other.
 pub(crate) fn check(inputs: &Inputs) -> Result<Vec<CheckFinding>, CliError> {
     let mut deployment = Deployment::default();
     let mut findings = Vec::new();
@@ -47,7 +47,7 @@
 }
 
 impl Deployment {
-    /// The outer error is of the file system, the inner one of the settings.
+    /// Loads a settings file. The outer error is an unreadable file, the inner one an invalid setting.
     fn load_settings(&mut self, path: &Path) -> Result<Result<(), SettingsError>, CliError> {
         let loaded = match is_control(path)? {
             true => load_control(path).map(|settings| self.controls.push(settings)),
--- a/crates/cli/src/check/group.rs
+++ b/crates/cli/src/check/group.rs
@@ -1,4 +1,4 @@
-//! The control replicas' settings against each other.
+//! Checks the control replicas' settings against each other.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -9,11 +9,11 @@
 use super::deployment::Deployment;
 use super::CheckFinding;
 
-/// Folder beside the settings that holds trial keys, whose secret halves everybody knows.
+/// Folder next to the settings with trial keys, whose private keys are public knowledge.
 const TRIAL_KEYS: &str = "trial-keys";
 
-/// Fewest replicas and zones that survive the loss of one.
-const FEWEST_FOR_A_LOSS: usize = 3;
+/// Minimum number of replicas, and of zones, that tolerates the loss of one.
+const MINIMUM_FOR_ONE_LOSS: usize = 3;
 
 pub(super) fn check(deployment: &Deployment, findings: &mut Vec<CheckFinding>) {
     let controls = &deployment.controls;
@@ -27,10 +27,10 @@
         check_equal(first, other, findings);
     }
     check_peers(controls, findings);
-    check_losses(controls, findings);
+    check_fault_tolerance(controls, findings);
 }
 
-/// What must be the same on all replicas of a group.
+/// Checks the settings that must be equal on all replicas of a group.
 fn check_equal(first: &ControlSettings, other: &ControlSettings, findings: &mut Vec<CheckFinding>) {
     let equal = [
         ("group", first.group == other.group),
@@ -49,7 +49,8 @@
     }
 }
 
-/// Each replica must name all others that have a file here, and no more.
+/// Checks that each replica's peers are exactly the other replicas with a settings file. A peer without
+/// one is only a warning.
 fn check_peers(controls: &[ControlSettings], findings: &mut Vec<CheckFinding>) {
     if controls.len() < 2 {
         return;
@@ -69,7 +70,7 @@
     }
 }
 
-fn check_losses(controls: &[ControlSettings], findings: &mut Vec<CheckFinding>) {
+fn check_fault_tolerance(controls: &[ControlSettings], findings: &mut Vec<CheckFinding>) {
     let path = &controls[0].path;
     let count = controls.len();
     if count > 1 && count.is_multiple_of(2) {
@@ -80,7 +81,7 @@
         findings.push(CheckFinding::warning(path, message));
     }
     let zones: BTreeSet<_> = controls.iter().map(|control| &control.zone).collect();
-    if count >= FEWEST_FOR_A_LOSS && zones.len() < FEWEST_FOR_A_LOSS {
+    if count >= MINIMUM_FOR_ONE_LOSS && zones.len() < MINIMUM_FOR_ONE_LOSS {
         let message = format!(
             "replicas stand in {} zone(s); the loss of one may stop all changes",
             zones.len()
@@ -89,7 +90,7 @@
     }
 }
 
-/// Warns of trusted keys whose secret half lies beside the settings.
+/// Warns of trusted operator keys whose private key is among the trial keys.
 fn check_trial_keys(control: &ControlSettings, findings: &mut Vec<CheckFinding>) {
     let folder = control
         .path
--- a/crates/cli/src/check/history.rs
+++ b/crates/cli/src/check/history.rs
@@ -1,7 +1,7 @@
-//! Recorded histories against the promises.
+//! Checks recorded histories for violated promises.
 //!
-//! Invariant: the files of one run are one history, since a promise may be broken by two processes that
-//! each wrote a file of their own.
+//! Invariant: the files of one run are checked as one history, since a violation may involve two
+//! processes that write separate files.
 
 use std::fmt;
 use std::fs::File;
@@ -17,10 +17,10 @@
 use crate::error::CliError;
 use crate::files::file_error;
 
-/// Broken promises that are printed as text; JSON has all.
+/// Maximum number of violations in the text output; the JSON output has all.
 const VIOLATIONS_SHOWN: usize = 20;
 
-/// What a run's history shows.
+/// Result of checking the history of one run.
 #[derive(Serialize)]
 pub(crate) struct HistoryReport {
     files: Vec<PathBuf>,
@@ -29,7 +29,7 @@
     violations: Vec<BrokenPromise>,
 }
 
-/// A broken promise with the records that show it.
+/// A violation with the records that prove it.
 #[derive(Serialize)]
 struct BrokenPromise {
     promise: &'static str,
@@ -38,7 +38,7 @@
     records: Vec<RecordPlace>,
 }
 
-/// Where a record stands.
+/// Position of a record.
 #[derive(Clone, Serialize)]
 struct RecordPlace {
     file: PathBuf,
@@ -46,7 +46,7 @@
     number: usize,
 }
 
-/// Checks every promise over the files of one run.
+/// Checks every promise on the files of one run.
 pub(crate) fn check(paths: &[PathBuf], limits: &CheckLimits) -> Result<HistoryReport, CliError> {
     let mut records = Vec::new();
     let mut places = Vec::new();
@@ -65,7 +65,9 @@
         files: paths.to_vec(),
         counts: report.counts,
         measures: measure(&records),
-        violations: violations.map(|one| located(one, &places)).collect(),
+        violations: violations
+            .map(|violation| located(violation, &places))
+            .collect(),
     })
 }
 
--- a/crates/cli/src/check/inputs.rs
+++ b/crates/cli/src/check/inputs.rs
@@ -1,4 +1,4 @@
-//! Which files are checked, and as what.
+//! Collects the files to check by kind.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use crate::error::CliError;
 use crate::files::file_error;
 
-/// Files of one deployment by their kind, in the order of their names.
+/// Files of one deployment by kind. Files found in a folder are sorted by name.
 #[derive(Default)]
 pub(crate) struct Inputs {
     pub(crate) settings: Vec<PathBuf>,
@@ -15,8 +15,9 @@
 }
 
 impl Inputs {
-    /// Each folder named is a deployment of its own (not deeper); files named by themselves are one
-    /// together. Such a file must be of a known kind; others within a folder are passed over.
+    /// Each folder in `paths` is a deployment of its own, without its subfolders; the files in `paths`
+    /// form one deployment together. A file in `paths` must be of a known kind; other files in a folder
+    /// are ignored.
     pub(crate) fn collect(paths: &[PathBuf]) -> Result<Vec<Self>, CliError> {
         let mut folders = Vec::new();
         let mut named = Self::default();
--- a/crates/cli/src/check/lineage.rs
+++ b/crates/cli/src/check/lineage.rs
@@ -1,4 +1,4 @@
-//! Bundles: each by itself, its sign-off, and what it follows.
+//! Checks bundles: each by itself, its signatures, and its parent.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
     for (path, signed) in &deployment.bundles {
         let bundle = &signed.bundle;
         push(path, grebepin_bundle::check(bundle), findings);
-        check_sign_off(deployment, path, signed, findings);
+        check_signatures(deployment, path, signed, findings);
         match bundle
             .parent
             .as_ref()
@@ -49,8 +49,8 @@
     }
 }
 
-/// Signatures, where there are any and the operators are known.
-fn check_sign_off(
+/// Verifies the signatures, unless the bundle is unsigned or no control settings name the operators.
+fn check_signatures(
     deployment: &Deployment,
     path: &Path,
     signed: &SignedBundle,
--- a/crates/cli/src/check/mod.rs
+++ b/crates/cli/src/check/mod.rs
@@ -15,17 +15,17 @@
 pub(crate) use history::HistoryReport;
 pub(crate) use inputs::Inputs;
 
-/// How bad a finding is.
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Severity {
-    /// Does not work.
+    /// The deployment does not work with this.
     Error,
-    /// Works, and may surprise.
+    /// The deployment works, but possibly not as intended.
     Warning,
 }
 
-/// Something wrong with a file.
+/// A problem with one file.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct CheckFinding {
     pub(crate) file: PathBuf,
--- a/crates/cli/src/check/reach.rs
+++ b/crates/cli/src/check/reach.rs
@@ -1,4 +1,4 @@
-//! Who must reach whom: addresses, routers' control replicas, zones, connections.
+//! Checks that processes can reach each other: addresses, routers' control replicas, zones, connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,18 +10,18 @@
 use super::CheckFinding;
 
 pub(super) fn check(deployment: &Deployment, findings: &mut Vec<CheckFinding>) {
-    check_listeners(deployment, findings);
+    check_listen_addresses(deployment, findings);
     check_routers(deployment, findings);
     for (path, signed) in &deployment.bundles {
         let servers = signed.bundle.services.iter();
         let servers: Vec<_> = servers.flat_map(|service| &service.servers).collect();
         check_zones(deployment, path, &servers, findings);
         check_connections(deployment, path, &servers, findings);
-        check_taken(deployment, path, &servers, findings);
+        check_server_addresses(deployment, path, &servers, findings);
     }
 }
 
-/// Addresses that daemons listen on, with their files.
+/// Addresses that daemons listen on, each with its settings file; port 0 is left out.
 fn listeners(deployment: &Deployment) -> Vec<(SocketAddr, &PathBuf)> {
     let controls = deployment.controls.iter().flat_map(|control| {
         [
@@ -38,7 +38,7 @@
     all.filter(|(address, _)| address.port() != 0).collect()
 }
 
-fn check_listeners(deployment: &Deployment, findings: &mut Vec<CheckFinding>) {
+fn check_listen_addresses(deployment: &Deployment, findings: &mut Vec<CheckFinding>) {
     let mut seen: BTreeMap<SocketAddr, &PathBuf> = BTreeMap::new();
     for (address, path) in listeners(deployment) {
         if let Some(first) = seen.insert(address, path) {
@@ -118,7 +118,7 @@
     }
 }
 
-fn check_taken(
+fn check_server_addresses(
     deployment: &Deployment,
     path: &Path,
     servers: &[&Server],
--- a/crates/cli/src/commands/bundle.rs
+++ b/crates/cli/src/commands/bundle.rs
@@ -1,4 +1,4 @@
-//! `grebepin bundle`: check, sign, roll and show bundles.
+//! `grebepin bundle`: checks, signs, rolls and shows bundles.
 
 mod summary;
 
@@ -18,8 +18,8 @@
 
 use summary::Summary;
 
-/// Ending of signed bundles.
-const SIGNED_ENDING: &str = "signed.json";
+/// File name extension of signed bundles.
+const SIGNED_EXTENSION: &str = "signed.json";
 
 #[derive(Serialize)]
 struct Validation {
@@ -102,10 +102,10 @@
 }
 
 fn signed_path(path: &Path) -> PathBuf {
-    if path.to_string_lossy().ends_with(SIGNED_ENDING) {
+    if path.to_string_lossy().ends_with(SIGNED_EXTENSION) {
         return path.to_owned();
     }
-    path.with_extension(SIGNED_ENDING)
+    path.with_extension(SIGNED_EXTENSION)
 }
 
 fn operator_name(text: &str) -> Result<OperatorName, CliError> {
@@ -200,7 +200,7 @@
     connection.client().bundle()?.ok_or(CliError::NoBundle)
 }
 
-/// Refuses a bundle that the control group would refuse, with every finding.
+/// Fails on a bundle that the control group would refuse as invalid, and prints every finding.
 fn refuse_invalid(signed: &SignedBundle, format: Format) -> Result<(), CliError> {
     let Err(findings) = check(&signed.bundle) else {
         return Ok(());
--- a/crates/cli/src/commands/bundle/summary.rs
+++ b/crates/cli/src/commands/bundle/summary.rs
@@ -1,4 +1,4 @@
-//! A bundle as people read it.
+//! Summary of a bundle.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 
 use crate::text::TextTable;
 
-/// The bundle with its digest; as JSON it is the whole signed bundle.
+/// A bundle with its digest. The text output is a summary; the JSON output has the complete signed bundle.
 #[derive(Serialize)]
 pub(super) struct Summary {
     digest: Digest,
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `grebepin check`: settings, bundles and histories, alone and against each other.
+//! `grebepin check`: checks settings, bundles and histories, alone and against each other.
 
 use std::fmt;
 
@@ -33,11 +33,11 @@
         }
     }
     format.print(&report)?;
-    report.verdict()
+    report.result()
 }
 
 impl CheckReport {
-    fn verdict(&self) -> Result<(), CliError> {
+    fn result(&self) -> Result<(), CliError> {
         let errors = self.findings.iter();
         let errors = errors.filter(|one| one.severity == Severity::Error).count();
         if errors > 0 {
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `grebepin drain`: a server gives its shards away, or is brought back.
+//! `grebepin drain`: moves a server's shards to others, or ends its drain.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
     server: ServerName,
     draining: bool,
     index: LogIndex,
-    /// Shards the server still owns.
+    /// Number of shards that the server still owns.
     shards: u32,
 }
 
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,10 +1,10 @@
 //! `grebepin explain`: joins the log lines of several processes about one request, server, key or item.
 //!
-//! Invariant: lines are shown as they were written; what can't be read is counted, and what should be
-//! there and isn't is said.
+//! Invariant: the values of a line are shown as they were logged. Unreadable lines are counted, and
+//! expected lines that are missing are reported.
 
 mod line;
-mod story;
+mod subject;
 
 use std::fmt;
 use std::fs;
@@ -17,12 +17,12 @@
 use crate::output::Format;
 
 use line::LogLine;
-use story::{Subject, Told};
+use subject::{Matches, Subject};
 
 /// Largest log file read, in bytes.
 const MAXIMUM_LOG_BYTES: u64 = 1 << 30;
 
-/// What is known of the subject.
+/// The log lines about the subject.
 #[derive(Serialize)]
 struct ExplainReport {
     subject: String,
@@ -41,16 +41,16 @@
         files += 1;
         let text = read(&path)?;
         let name = path.file_stem().unwrap_or_default().to_string_lossy();
-        for written in text.lines() {
-            match LogLine::parse(&name, written) {
+        for raw_line in text.lines() {
+            match LogLine::parse(&name, raw_line) {
                 Some(line) => lines.push(line),
                 None => unreadable += 1,
             }
         }
     }
-    // By the machines' own clocks: they may differ by some milliseconds.
+    // The times are of the machines' own clocks, which may differ by some milliseconds.
     lines.sort_by(|one, other| one.at.total_cmp(&other.at));
-    let Told { lines, missing } = subject.tell(&lines);
+    let Matches { lines, missing } = subject.select(&lines);
     format.print(&ExplainReport {
         subject: subject.to_string(),
         files,
--- a/crates/cli/src/commands/explain/line.rs
+++ b/crates/cli/src/commands/explain/line.rs
@@ -2,23 +2,23 @@
 
 use std::collections::BTreeMap;
 
-/// A line with its values.
+/// A parsed log line.
 #[derive(Clone, Debug)]
 pub(super) struct LogLine {
-    /// File that it stands in, without its ending.
+    /// Name of the log file without its extension, which is the process name.
     pub process: String,
-    /// Seconds since 1970, by the machine's clock.
+    /// Seconds since the Unix epoch by the machine's clock.
     pub at: f64,
-    /// Number of the event.
+    /// Number of the event in the catalogue.
     pub event: u32,
     fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` when it is cut or no event.
-    pub(super) fn parse(process: &str, written: &str) -> Option<Self> {
-        let fields = fields(written)?;
-        // The text stands last: without it the line was cut.
+    /// Parses a line; `None` when it is truncated or not an event.
+    pub(super) fn parse(process: &str, line: &str) -> Option<Self> {
+        let fields = fields(line)?;
+        // The text is the last field; a line without it was truncated.
         fields.get("text")?;
         Some(Self {
             process: process.to_owned(),
@@ -28,12 +28,12 @@
         })
     }
 
-    /// A value.
+    /// Value of a field.
     pub(super) fn get(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 
-    /// The line as it is shown.
+    /// Formats the line for the report: time, process, event, text, then the other fields by name.
     pub(super) fn shown(&self) -> String {
         let values = self
             .fields
@@ -53,10 +53,10 @@
     }
 }
 
-/// Values by name; `None` when a quote is not closed or a part has no name.
-fn fields(written: &str) -> Option<BTreeMap<String, String>> {
+/// Parses the fields of a line; `None` when a quote is not closed or a part has no name.
+fn fields(line: &str) -> Option<BTreeMap<String, String>> {
     let mut fields = BTreeMap::new();
-    let mut rest = written.trim_end();
+    let mut rest = line.trim_end();
     while !rest.is_empty() {
         let (name, after) = rest.split_once('=')?;
         let (value, after) = match after.strip_prefix('"') {
@@ -72,7 +72,7 @@
     Some(fields)
 }
 
-/// A quoted value and what follows it.
+/// Parses a quoted value after its opening quote; returns the value and the rest of the line.
 fn quoted_value(quoted: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut characters = quoted.char_indices();
--- a/crates/cli/src/commands/explain/story.rs
+++ b/crates/cli/src/commands/explain/subject.rs
@@ -1,4 +1,4 @@
-//! Which lines belong to a subject, and which should and are not there.
+//! Selects the log lines about a subject, and reports expected lines that are missing.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,7 +8,7 @@
 
 use super::line::LogLine;
 
-/// Events of the catalogue that a story is made of.
+/// Events of the catalogue that the selection is based on.
 const INSTANCE_CHANGED: u32 = 129;
 const SHARDS_MOVED: u32 = 130;
 const ITEMS_CHANGED: u32 = 127;
@@ -16,13 +16,14 @@
 const REQUEST_ENDS: [u32; 3] = [225, 226, 227];
 const LINES_DROPPED: u32 = 404;
 
-/// Seconds round a request in which lines of its servers and its shard belong to its story.
-const NEARBY_SECONDS: f64 = 5.0;
+/// Window before and after a request, in seconds, in which lines about its servers and its shard are
+/// selected too.
+const CONTEXT_SECONDS: f64 = 5.0;
 
-/// Keys of one shard.
+/// Number of keys in one shard.
 const KEYS_PER_SHARD: u64 = 16;
 
-/// What is asked for.
+/// What the report is about.
 pub(super) enum Subject {
     Request(String),
     Instance(String),
@@ -30,8 +31,8 @@
     Item(String),
 }
 
-/// What was found.
-pub(super) struct Told {
+/// Selected lines, and descriptions of the expected lines that are missing.
+pub(super) struct Matches {
     pub lines: Vec<String>,
     pub missing: Vec<String>,
 }
@@ -54,20 +55,24 @@
             })
     }
 
-    /// Tells the story out of lines that stand in order.
-    pub(super) fn tell(&self, lines: &[LogLine]) -> Told {
+    /// Selects the lines about the subject from `lines`, which are sorted by time.
+    pub(super) fn select(&self, lines: &[LogLine]) -> Matches {
         match self {
-            Self::Request(id) => tell_request(id, lines),
-            Self::Instance(id) => told(lines, |line| names_instance(line, id), "no line names it"),
+            Self::Request(id) => select_request(id, lines),
+            Self::Instance(id) => {
+                select_lines(lines, |line| names_instance(line, id), "no line names it")
+            }
             Self::Key(key) => {
                 let shard = u64::from(*key) / KEYS_PER_SHARD;
-                told(
+                select_lines(
                     lines,
                     |line| moves_shard(line, shard),
                     "its shard never moved",
                 )
             }
-            Self::Item(name) => told(lines, |line| names_item(line, name), "no change names it"),
+            Self::Item(name) => {
+                select_lines(lines, |line| names_item(line, name), "no change names it")
+            }
         }
     }
 }
@@ -86,7 +91,7 @@
     }
 }
 
-fn told(lines: &[LogLine], belongs: impl Fn(&LogLine) -> bool, none: &str) -> Told {
+fn select_lines(lines: &[LogLine], belongs: impl Fn(&LogLine) -> bool, none: &str) -> Matches {
     let shown: Vec<String> = lines
         .iter()
         .filter(|line| belongs(line))
@@ -96,18 +101,18 @@
         true => vec![none.to_owned()],
         false => Vec::new(),
     };
-    Told {
+    Matches {
         lines: shown,
         missing,
     }
 }
 
-fn tell_request(id: &str, lines: &[LogLine]) -> Told {
+fn select_request(id: &str, lines: &[LogLine]) -> Matches {
     let is_own =
         |line: &LogLine| REQUEST_EVENTS.contains(&line.event) && line.get("id") == Some(id);
     let own: Vec<&LogLine> = lines.iter().filter(|line| is_own(line)).collect();
     let Some(first) = own.first() else {
-        return Told {
+        return Matches {
             lines: Vec::new(),
             missing: missing_request(lines),
         };
@@ -117,12 +122,12 @@
         .iter()
         .find_map(|line| line.get("key")?.parse::<u64>().ok())
         .map(|key| key / KEYS_PER_SHARD);
-    let is_near = |line: &LogLine| (line.at - first.at).abs() <= NEARBY_SECONDS;
+    let is_near = |line: &LogLine| (line.at - first.at).abs() <= CONTEXT_SECONDS;
     let is_context = |line: &LogLine| {
         let of_server = servers.iter().any(|server| is_about(line, server));
         of_server || shard.is_some_and(|shard| moves_shard(line, shard))
     };
-    let story = lines
+    let selected = lines
         .iter()
         .filter(|line| is_own(line) || (is_near(line) && is_context(line)));
     let mut missing = Vec::new();
@@ -130,8 +135,8 @@
         missing
             .push("the line of its end; GREBEPIN_LOG=debug writes one for each answer".to_owned());
     }
-    Told {
-        lines: story.map(LogLine::shown).collect(),
+    Matches {
+        lines: selected.map(LogLine::shown).collect(),
         missing,
     }
 }
@@ -166,7 +171,7 @@
         .collect()
 }
 
-/// Whether a line tells what became of a server, its suspicion included.
+/// Whether a line reports a change of a server's state, including its ejection.
 fn is_about(line: &LogLine, server: &str) -> bool {
     !REQUEST_EVENTS.contains(&line.event)
         && line.event != SHARDS_MOVED
@@ -185,7 +190,7 @@
     line.event == ITEMS_CHANGED && names.split(',').any(|one| one == name)
 }
 
-/// Whether a line tells that a shard changed hands.
+/// Whether a line reports a change of a shard's owner.
 fn moves_shard(line: &LogLine, shard: u64) -> bool {
     let ranges = line.get("ranges").unwrap_or_default();
     line.event == SHARDS_MOVED && ranges.split(',').any(|range| in_range(range, shard))
--- a/crates/cli/src/commands/found.rs
+++ b/crates/cli/src/commands/found.rs
@@ -1,7 +1,7 @@
 //! `grebepin found`: founds the control group, once.
 //!
-//! Invariant: the cluster's identifier follows from the founding members alone, so that founding again
-//! after a lost answer is the same request, and founding over other folders is refused.
+//! Invariant: the cluster identifier is derived from the founding members alone, so that a retry after a
+//! lost answer sends the same request, and founding again with other data folders is refused.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -22,9 +22,9 @@
 struct Founded {
     cluster: ClusterId,
     members: Vec<Member>,
-    /// Voters that may be lost.
+    /// Number of voters whose loss is tolerated.
     tolerated_replicas: usize,
-    /// Whether any one zone may be lost.
+    /// Whether the loss of any one zone is tolerated.
     tolerates_zone: bool,
 }
 
@@ -58,11 +58,12 @@
     let client = arguments.connection.client();
     let mut replicas = identities(&client)?;
     refuse_duplicates(&replicas)?;
-    // Replicas that are founded already refuse another founding before any new one takes it.
+    // Replicas that are founded already come first: they refuse a different founding request before a new
+    // replica accepts it.
     replicas.sort_by_key(|(_, identity)| !identity.founded);
     let mut members: Vec<_> = replicas
         .iter()
-        .map(|(_, one)| founding_voter(one))
+        .map(|(_, identity)| founding_voter(identity))
         .collect();
     members.sort_by_key(|member| member.replica);
     let request = FoundRequest {
@@ -114,7 +115,7 @@
         .expect("16 bytes in hexadecimal are a cluster's identifier")
 }
 
-/// Whether a majority is left when any one zone is lost.
+/// Whether a majority remains after the loss of any one zone.
 fn tolerates_zone(members: &[Member]) -> bool {
     members.iter().all(|lost| {
         let left = members.iter().filter(|one| one.zone != lost.zone).count();
--- a/crates/cli/src/commands/generate.rs
+++ b/crates/cli/src/commands/generate.rs
@@ -1,4 +1,4 @@
-//! `grebepin completions` and `grebepin man`: files made from the arguments.
+//! `grebepin completions` and `grebepin man`: generates files from the definition of the arguments.
 
 use clap::CommandFactory;
 
--- a/crates/cli/src/commands/key.rs
+++ b/crates/cli/src/commands/key.rs
@@ -1,4 +1,4 @@
-//! `grebepin key`: operators' signing keys.
+//! `grebepin key`: creates and shows operators' signing keys.
 
 use std::fmt;
 use std::path::Path;
--- a/crates/cli/src/commands/members.rs
+++ b/crates/cli/src/commands/members.rs
@@ -1,4 +1,4 @@
-//! `grebepin members`: changes of the control group's members.
+//! `grebepin members`: changes the members of the control group.
 
 use std::fmt;
 
--- a/crates/cli/src/commands/plan.rs
+++ b/crates/cli/src/commands/plan.rs
@@ -1,4 +1,4 @@
-//! `grebepin plan`: what rolling a bundle would move.
+//! `grebepin plan`: computes the moves that rolling a bundle would cause.
 
 use std::fmt;
 
@@ -16,12 +16,12 @@
 
 #[derive(Serialize)]
 struct PlanReport {
-    /// Log index of the table that the plan starts from.
+    /// Log index of the routing table that the plan is based on.
     from_index: u64,
-    /// Version in force.
+    /// Version of the bundle in force.
     from_version: u64,
     version: u64,
-    /// Why the bundle would be refused.
+    /// Reasons why the bundle would be refused; empty for a valid one.
     refused: Vec<String>,
     services: Vec<ServiceReport>,
 }
@@ -32,8 +32,8 @@
     shards: u32,
     moves: u32,
     churn_percent: f64,
-    /// Time of the moves at an even pace at the churn limits, which a quiet minute before shortens;
-    /// absent when the limits allow no move.
+    /// Duration of the moves at a constant rate at the churn limits; shorter after a minute without moves.
+    /// Absent when the limits allow no move.
     even_pace_ms: Option<u64>,
     imbalance_before: f64,
     imbalance_after: f64,
--- a/crates/cli/src/commands/replay.rs
+++ b/crates/cli/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! `grebepin replay`: the decisions in a control replica's data folder, one a line.
+//! `grebepin replay`: shows the decisions in a control replica's data folder, one per line.
 
 mod decision;
 mod state;
@@ -22,18 +22,18 @@
     cluster: Option<String>,
     snapshot_index: u64,
     committed: u64,
-    /// Entries after the last one known to be committed; they may never count.
+    /// Number of entries after the last one known to be committed; they may never be committed.
     beyond_committed: usize,
     decisions: Vec<Decision>,
     state: StateReport,
 }
 
-/// One entry of the log and what it did.
+/// A log entry and its outcome.
 #[derive(Serialize)]
 struct Decision {
     index: LogIndex,
     term: Term,
-    /// Whether the folder knows that the entry is committed; one that isn't may never count.
+    /// Whether the folder records that the entry is committed; any other may never be committed.
     committed: bool,
     text: String,
 }
@@ -63,7 +63,7 @@
     format.print(&report(&folder, decisions, &state))
 }
 
-/// Applies one entry and says what it did.
+/// Applies one entry and describes its outcome.
 pub(crate) fn apply(state: &mut OwnershipState, entry: &Entry) -> String {
     match &entry.payload {
         EntryPayload::Noop => {
@@ -131,12 +131,12 @@
 
 impl fmt::Display for Decision {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let doubt = match self.committed {
+        let note = match self.committed {
             true => "",
             false => " (not known to be committed)",
         };
         let (index, term, text) = (self.index, self.term, &self.text);
-        write!(formatter, "{index:>8} term {term}: {text}{doubt}")
+        write!(formatter, "{index:>8} term {term}: {text}{note}")
     }
 }
 
--- a/crates/cli/src/commands/replay/decision.rs
+++ b/crates/cli/src/commands/replay/decision.rs
@@ -1,9 +1,9 @@
-//! Decisions of the log as people read them.
+//! Descriptions of log entries' outcomes.
 
 use grebepin_ownership::{Assigned, BootOutcome, BundleOutcome, Outcome, StandingOutcome};
 use grebepin_schema::{Command, MemberRole, Membership, ServerName};
 
-/// A new membership.
+/// Describes a new membership.
 pub(super) fn membership(membership: &Membership) -> String {
     let members: Vec<_> = membership
         .members
@@ -20,7 +20,7 @@
     format!("members: {}", members.join(", "))
 }
 
-/// A command and what became of it.
+/// Describes the outcome of a command.
 pub(super) fn outcome(command: &Command, outcome: &Outcome) -> String {
     match outcome {
         Outcome::Bundle(outcome) => bundle(outcome),
--- a/crates/cli/src/commands/replay/state.rs
+++ b/crates/cli/src/commands/replay/state.rs
@@ -1,4 +1,4 @@
-//! The ownership state that a log leads to.
+//! The ownership state after replaying a log.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,7 +16,7 @@
     bundle_version: u64,
     bundle_digest: Option<String>,
     unowned_shards: u64,
-    /// The bundle in force, whole.
+    /// The complete bundle in force.
     bundle: Option<Bundle>,
     servers: Vec<ServerReport>,
 }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `grebepin status`: the control group as its leader, or one replica, sees it.
+//! `grebepin status`: shows the control group's status, as reported by its leader or by one replica.
 
 mod servers;
 
@@ -12,7 +12,7 @@
 use crate::output::Format;
 use crate::text::{milliseconds, TextTable};
 
-/// Routers that are listed unless all are asked for, the slowest first.
+/// Number of routers listed without `--all`, the slowest first.
 const ROUTERS_SHOWN: usize = 10;
 
 #[derive(Serialize)]
@@ -37,7 +37,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let status = &self.status;
         write_group(status, formatter)?;
-        write_losses(status, formatter)?;
+        write_tolerated_losses(status, formatter)?;
         write_members(status, formatter)?;
         write_shards(status, formatter)?;
         servers::write(&status.servers, self.all, formatter)?;
@@ -75,7 +75,7 @@
     }
 }
 
-fn write_losses(status: &Status, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+fn write_tolerated_losses(status: &Status, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
     if status.role != ReplicaRole::Leader {
         return writeln!(
             formatter,
--- a/crates/cli/src/commands/status/servers.rs
+++ b/crates/cli/src/commands/status/servers.rs
@@ -1,4 +1,4 @@
-//! Servers in `grebepin status`: one line a service, and each server that needs a look.
+//! Servers in `grebepin status`: one line per service, and the servers that need attention.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,17 +7,17 @@
 
 use crate::text::{milliseconds, TextTable};
 
-/// Shards of one service's servers.
+/// Servers of one service, and how many shards they own.
 #[derive(Default)]
 struct Summary {
     servers: usize,
     shards: u64,
     least: u32,
     most: u32,
-    needing_a_look: usize,
+    needing_attention: usize,
 }
 
-/// Writes the summary of each service, then the servers that need a look, or all of them.
+/// Writes the summary of each service, then the servers that need attention, or all of them.
 pub(super) fn write(
     servers: &[ServerStatus],
     all: bool,
@@ -30,7 +30,7 @@
     write!(formatter, "{}", summaries(servers))?;
     let shown: Vec<_> = servers
         .iter()
-        .filter(|server| all || needs_a_look(server))
+        .filter(|server| all || needs_attention(server))
         .collect();
     if shown.is_empty() {
         return Ok(());
@@ -44,8 +44,8 @@
     write!(formatter, "{}", details(&shown))
 }
 
-/// Whether a server leaves, has no lease, or doesn't hold just what it owns.
-fn needs_a_look(server: &ServerStatus) -> bool {
+/// Whether a server is not active, has no lease, or holds a different number of shards than it owns.
+fn needs_attention(server: &ServerStatus) -> bool {
     let is_active = server.standing == ServerStanding::Active;
     !is_active || server.lease_remaining_ms == 0 || server.held != server.shards
 }
@@ -61,7 +61,7 @@
         summary.most = summary.most.max(server.shards);
         summary.servers += 1;
         summary.shards += u64::from(server.shards);
-        summary.needing_a_look += usize::from(needs_a_look(server));
+        summary.needing_attention += usize::from(needs_attention(server));
     }
     let headings = [
         "service",
@@ -79,7 +79,7 @@
             summary.shards.to_string(),
             summary.least.to_string(),
             summary.most.to_string(),
-            summary.needing_a_look.to_string(),
+            summary.needing_attention.to_string(),
         ]);
     }
     table
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -1,4 +1,4 @@
-//! From arguments to a client of the control group.
+//! Creates the client of the control group from the connection arguments.
 
 use std::time::Duration;
 
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of commands, and their exit codes.
+//! Errors of commands, and their exit codes.
 
 use std::path::PathBuf;
 
@@ -11,35 +11,35 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// A check found something wrong; the findings were printed.
-    #[error("{errors} error(s) found; mend them and check again")]
+    /// A check found errors. The findings were printed to standard output.
+    #[error("{errors} error(s) found; correct them and check again")]
     Findings {
-        /// Count of errors.
+        /// Number of errors.
         errors: usize,
     },
-    /// A history breaks promises; the violations were printed.
+    /// A history violates promises. The violations were printed to standard output.
     #[error("{violations} broken promise(s); the records that show them are named above")]
     BrokenPromises {
-        /// Count of violations.
+        /// Number of violations.
         violations: usize,
     },
-    /// An argument has a wrong form.
+    /// An argument is invalid.
     #[error("{argument} {value:?}: {reason}")]
     Argument {
         /// Name of the argument.
         argument: &'static str,
-        /// Value given.
+        /// The invalid value.
         value: String,
-        /// What is wrong.
+        /// Why the value is invalid.
         reason: String,
     },
-    /// Settings are refused.
+    /// A settings file is invalid or could not be read.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The control group gave no good answer.
-    #[error("{error}{}", next_step(error))]
+    /// A call to the control group failed.
+    #[error("{error}{}", remedy(error))]
     Client {
-        /// What went wrong.
+        /// Cause.
         error: ClientError,
     },
     /// A file can't be read or written.
@@ -47,16 +47,16 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// Cause.
         source: std::io::Error,
     },
-    /// A file would be overwritten.
+    /// The file to create exists already.
     #[error("{} exists and is never overwritten; name another file", path.display())]
     Exists {
         /// The file.
         path: PathBuf,
     },
-    /// A file is over its limit.
+    /// A file is larger than its limit.
     #[error("{}: over the limit of {maximum} bytes", path.display())]
     TooLarge {
         /// The file.
@@ -64,20 +64,20 @@
         /// Limit in bytes.
         maximum: u64,
     },
-    /// A file is no bundle.
+    /// A file is not a bundle.
     #[error("{}: not a bundle: {source}", path.display())]
     NotABundle {
         /// The file.
         path: PathBuf,
-        /// Where it goes wrong.
+        /// Cause, with the position in the file.
         source: serde_json::Error,
     },
-    /// A file holds no signing key.
-    #[error("{}: {source}; `grebepin key new` makes one", path.display())]
+    /// A file does not hold a signing key.
+    #[error("{}: {source}; `grebepin key new` creates one", path.display())]
     Key {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Cause.
         source: KeyError,
     },
     /// A history can't be read.
@@ -85,7 +85,7 @@
     History {
         /// The file.
         path: PathBuf,
-        /// Where it goes wrong.
+        /// Cause, with the position in the file.
         source: grebepin_check::ReadError,
     },
     /// A data folder can't be replayed.
@@ -93,21 +93,21 @@
     Folder {
         /// The folder.
         path: PathBuf,
-        /// What is wrong, and what to do.
+        /// Cause, and where it is known what to do about it.
         reason: String,
     },
-    /// No bundle is in force yet.
+    /// The control group has not accepted a bundle yet.
     #[error("no bundle is in force yet; write the first one, sign it, and roll it")]
     NoBundle,
-    /// A result can't be written as JSON.
-    #[error("result does not encode: {0}")]
+    /// A result could not be serialized as JSON.
+    #[error("result can't be serialized: {0}")]
     Encode(#[from] serde_json::Error),
-    /// Standard output is closed.
+    /// Standard output could not be written to.
     #[error("result can't be printed: {0}")]
     Print(std::io::Error),
 }
 
-const FOUND: u8 = 1;
+const CHECK_FAILED: u8 = 1;
 const USAGE: u8 = 2;
 const REFUSED: u8 = 3;
 const NO_LEADER: u8 = 4;
@@ -115,10 +115,10 @@
 const FILE: u8 = 6;
 
 impl CliError {
-    /// Exit code of the process, as `grebepin --help` lists them.
+    /// Exit code of the process; `grebepin --help` lists the codes.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Findings { .. } | Self::BrokenPromises { .. } => FOUND,
+            Self::Findings { .. } | Self::BrokenPromises { .. } => CHECK_FAILED,
             Self::Argument { .. } | Self::Settings(_) => USAGE,
             Self::Client { error } => client_exit_code(error),
             Self::NoBundle => REFUSED,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Name of the failure, for programs.
+    /// Identifier of the failure for programs, the field `kind` of the JSON error.
     fn kind(&self) -> String {
         match self {
             Self::Findings { .. } => "findings".to_owned(),
@@ -171,7 +171,7 @@
     }
 }
 
-fn next_step(error: &ClientError) -> &'static str {
+fn remedy(error: &ClientError) -> &'static str {
     let Some(kind) = error.kind() else {
         return match error {
             ClientError::NoLeader { .. } => {
@@ -207,7 +207,7 @@
     exit_code: u8,
 }
 
-/// Prints a failure to standard error.
+/// Prints an error to standard error, as one line of JSON or as text.
 pub fn print_error(error: &CliError, json: bool) {
     let report = ErrorReport {
         kind: error.kind(),
--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -1,6 +1,7 @@
-//! Reading and writing of operators' files.
+//! Reads and writes operators' files.
 //!
-//! Invariant: a file is either whole or as it was before; a key file is never readable by others.
+//! Invariant: an existing file is either replaced as a whole or left unchanged, and a key file is never
+//! readable by other users.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{ErrorKind, Read, Write};
@@ -46,17 +47,17 @@
     })
 }
 
-/// Makes a file that only its owner may read.
+/// Creates a file that only its owner can read; an existing one is never overwritten.
 pub(crate) fn create_private(path: &Path, text: &str) -> Result<(), CliError> {
     create(path, text.as_bytes(), PRIVATE_MODE)
 }
 
-/// Makes a JSON file; an existing one is never overwritten.
+/// Creates a JSON file; an existing one is never overwritten.
 pub(crate) fn create_json<T: Serialize>(path: &Path, value: &T) -> Result<(), CliError> {
     create(path, &json_bytes(value)?, PUBLIC_MODE)
 }
 
-/// Writes a JSON file beside its place, syncs it, and moves it there.
+/// Replaces a JSON file atomically: writes a temporary file in the same folder, syncs it, and renames it.
 pub(crate) fn replace_json<T: Serialize>(path: &Path, value: &T) -> Result<(), CliError> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(format!(".{}.new", std::process::id()));
@@ -97,7 +98,7 @@
     Ok(bytes)
 }
 
-/// Reads a file of at most `maximum` bytes.
+/// Reads a file; one of more than `maximum` bytes is an error.
 pub(crate) fn read(path: &Path, maximum: u64) -> Result<Vec<u8>, CliError> {
     let file = File::open(path).map_err(|source| file_error(path, source))?;
     let mut bytes = Vec::new();
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,7 +1,7 @@
-//! Operators' command line.
+//! The operators' command line, `grebepin`.
 //!
-//! Invariant: a command either prints its whole result and exits with 0, or says what went wrong and
-//! what to do next and exits with the code of that kind of failure, see [`CliError::exit_code`].
+//! Invariant: a command either prints its complete result and exits with 0, or reports the error, with a
+//! remedy where one is known, and exits with the code of that kind of error, see [`CliError::exit_code`].
 
 mod arguments;
 mod check;
@@ -18,7 +18,7 @@
 
 use arguments::{BundleCommand, Command, KeyCommand, MembersCommand};
 
-/// Runs one command.
+/// Runs one command; its result is printed to standard output.
 pub fn run(arguments: Arguments) -> Result<(), CliError> {
     let format = output::Format::new(arguments.json);
     match arguments.command {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing of results: text for people, JSON for programs.
+//! Prints results as text or JSON.
 
 use std::fmt::Display;
 use std::io::{ErrorKind, Write};
@@ -7,7 +7,7 @@
 
 use crate::error::CliError;
 
-/// Form of a result.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
     Text,
@@ -32,13 +32,13 @@
     }
 }
 
-/// Prints text to standard output, ending it with a line break.
+/// Prints text to standard output, and a line break if it does not end with one.
 pub(crate) fn print_text(text: &str) -> Result<(), CliError> {
     let mut output = std::io::stdout().lock();
     let end = if text.ends_with('\n') { "" } else { "\n" };
     let printed = write!(output, "{text}{end}").and_then(|()| output.flush());
     match printed {
-        // Whoever reads may stop early; the command has done its work.
+        // The reader may close the pipe early, as `head` does; the command itself has succeeded.
         Err(error) if error.kind() == ErrorKind::BrokenPipe => Ok(()),
         printed => printed.map_err(CliError::Print),
     }
--- a/crates/cli/src/replica_folder.rs
+++ b/crates/cli/src/replica_folder.rs
@@ -1,7 +1,7 @@
 //! Reads a control replica's data folder without changing it.
 //!
-//! Invariant: the folder's files are only read, into memory; what its storage would repair or lock is
-//! repaired or locked in that copy.
+//! Invariant: the folder's files are only read. They are copied into memory, and the storage locks and
+//! repairs that copy.
 
 use std::fs;
 use std::path::Path;
@@ -16,13 +16,13 @@
 /// Largest file of a data folder that is read, in bytes.
 const MAXIMUM_FILE_BYTES: u64 = 4 << 30;
 
-/// What a replica remembers.
+/// Persisted state of a replica.
 pub(crate) struct ReplicaFolder {
     pub(crate) identity: Identity,
     pub(crate) restored: RestoredState,
 }
 
-/// Reads a data folder.
+/// Reads a data folder; an empty one is an error.
 pub(crate) fn open(path: &Path) -> Result<ReplicaFolder, CliError> {
     let failed = |reason: String| CliError::Folder {
         path: path.to_owned(),
@@ -57,7 +57,7 @@
 }
 
 impl ReplicaFolder {
-    /// The ownership state of the snapshot; empty without one.
+    /// The ownership state in the snapshot; the initial state when there is no snapshot.
     pub(crate) fn snapshot_state(&self, path: &Path) -> Result<OwnershipState, CliError> {
         let mut state = OwnershipState::new(self.identity.group);
         if let Some((_, data)) = &self.restored.snapshot {
@@ -70,7 +70,7 @@
     }
 }
 
-/// The routing table and bundle that the folder's committed entries lead to.
+/// The routing table and bundle after the folder's committed entries.
 pub(crate) fn table(path: &Path) -> Result<(TableSnapshot, Option<Bundle>), CliError> {
     let folder = open(path)?;
     let mut state = folder.snapshot_state(path)?;
--- a/crates/cli/src/text.rs
+++ b/crates/cli/src/text.rs
@@ -1,8 +1,8 @@
-//! Tables of text with aligned columns.
+//! Text tables with aligned columns.
 
 use std::fmt;
 
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 /// A table whose columns are as wide as their widest cell.
 pub(crate) struct TextTable {
@@ -40,13 +40,17 @@
                 .zip(&widths)
                 .map(|(cell, width)| format!("{cell:width$}"))
                 .collect();
-            writeln!(formatter, "{GAP}{}", cells.join(GAP).trim_end())?;
+            writeln!(
+                formatter,
+                "{COLUMN_GAP}{}",
+                cells.join(COLUMN_GAP).trim_end()
+            )?;
         }
         Ok(())
     }
 }
 
-/// A duration in ms as people read it.
+/// Formats a duration in ms with a unit that suits its length.
 pub(crate) fn milliseconds(value: u64) -> String {
     match value {
         0..10_000 => format!("{value} ms"),
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Runs the built binary.
+//! Runs the built `grebepin` binary, and prepares its input files.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// What a command printed, and its exit code.
+/// Exit code of a command, and what it printed.
 #[derive(Debug)]
 pub struct Run {
     pub code: i32,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Runs `grebepin` with these arguments in the repository's root.
+/// Runs `grebepin` in the repository's root.
 pub fn grebepin(arguments: &[&str]) -> Run {
     let output: Output = Command::new(env!("CARGO_BIN_EXE_grebepin"))
         .args(arguments)
@@ -46,7 +46,7 @@
     path.to_str().expect("the path is text")
 }
 
-/// Copies the files of `deployments/recife`, without its folders, changing one text in one file.
+/// Copies the files of `deployments/recife`, without its subfolders, and replaces one text in one file.
 pub fn recife_with(folder: &Path, file: &str, from: &str, to: &str) {
     let source = root().join("deployments/recife");
     for entry in std::fs::read_dir(&source).expect("the deployment exists") {
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `grebepin explain`: the three kinds of failed request of docs/OPERATIONS.md, from logs alone.
+//! Tests `grebepin explain` on the logs of the three kinds of failed request in docs/OPERATIONS.md.
 
 mod common;
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn servers_keys_and_items_have_stories_and_what_is_missing_is_said() {
+fn servers_keys_and_items_are_explained_and_missing_lines_reported() {
     let folder = folder();
     let path = text(folder.path());
     grebepin(&["explain", "--instance", "i-1", path])
--- a/crates/cli/tests/files.rs
+++ b/crates/cli/tests/files.rs
@@ -1,4 +1,4 @@
-//! Commands that work on files: keys, bundles, checks, generated pages.
+//! Tests the commands that work on files: keys, bundles, checks, generated pages.
 
 mod common;
 
@@ -146,7 +146,7 @@
     }
 }
 
-/// File of `deployments/recife`, text in it, what replaces it, exit code, and what is said.
+/// File of `deployments/recife`, text in it, its replacement, exit code, and text in the output.
 #[rustfmt::skip]
 const CHECKS: &[(&str, &str, &str, i32, &str)] = &[
     ("control-boa-vista.toml", "boa-vista", "boa-vista", 0, "8 file(s) checked: 0 error(s)"),
--- a/crates/cli/tests/group.rs
+++ b/crates/cli/tests/group.rs
@@ -1,4 +1,4 @@
-//! Commands against a running control replica, from its founding to the replay of its folder.
+//! Tests the commands against a running control replica, from its founding to the replay of its folder.
 
 mod common;
 
@@ -14,7 +14,7 @@
 const SECOND: &str = "deployments/recife/bundle-2.json";
 const FIRST_DIGEST: &str = "6c1efb21473984ab53478647b31f1593ce409ec6963d9e2c39a009ec870ecec5";
 
-/// One replica that is a group by itself.
+/// A control group of a single replica.
 struct Group {
     folder: tempfile::TempDir,
     control: Option<RunningControl>,
@@ -182,7 +182,7 @@
         control.addresses().admin.to_string()
     }
 
-    /// Replays the stopped replica's folder, which must not change it.
+    /// Replays the stopped replica's folder and checks that its files stay unchanged.
     fn check_replay(&self, next: &str) {
         let data = self.data();
         let before = files_of(Path::new(&data));
@@ -195,7 +195,7 @@
             "bundle version 1, digest 6c1e",
         ];
         replay.expect(0, &decisions);
-        let beyond = grebepin(&["replay", &data, "--to", &group_end(&data)]);
+        let beyond = grebepin(&["replay", &data, "--to", &last_log_index(&data)]);
         beyond.expect(0, &["refused: no server sl-99"]);
         let short = grebepin(&["replay", &data, "--to", "2", "--json"]);
         let report: Value = serde_json::from_str(&short.output).expect("JSON");
@@ -208,13 +208,13 @@
         assert_eq!(
             files_of(Path::new(&data)),
             before,
-            "the folder is as it was"
+            "the folder is unchanged"
         );
     }
 }
 
 /// Index of the last entry in the folder, known to be committed or not.
-fn group_end(data: &str) -> String {
+fn last_log_index(data: &str) -> String {
     let run = grebepin(&["replay", data, "--json"]);
     let report: Value = serde_json::from_str(&run.output).expect("JSON");
     let count = |field: &str| report[field].as_u64().expect("a number");
