--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -1,4 +1,4 @@
-//! From arguments to a client of the control group.
+//! Creates the client of the control group from the connection arguments.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     pub(crate) fn client(&self) -> AdminClient {
         let options = ClientOptions {
             timeout: Duration::from_millis(self.timeout_ms),
-            patience: Duration::from_millis(self.patience_ms),
+            leader_search_timeout: Duration::from_millis(self.patience_ms),
         };
         AdminClient::new(self.control.clone(), options)
     }
